--- a/crates/dispatch/src/admit.rs
+++ b/crates/dispatch/src/admit.rs
@@ -1,20 +1,20 @@
-//! Whether a gathered request is taken up at all.
+//! Admission control for gathered requests.
 //!
-//! While callers ask for more than the searchers can do, queues grow until every answer is
-//! late, and the work for it is lost. The shards that an answer needs say how long it will
-//! take; beyond the target latency, the request is taken up with the probability at which
-//! the work would fit, and refused at once otherwise, before anything has run. A caller who
-//! is refused may come back in time; one who waits can't be served in time. Invariant: a
-//! request that is expected to meet its target is always taken up, and some are always, so
-//! that recovery is noticed.
+//! While the offered load exceeds the capacity of the searchers, queues grow until every answer is
+//! late and the work for it is wasted. The expected latency is that of the shards which an answer
+//! needs. If it exceeds the target latency, the request is admitted with the probability at which
+//! the admitted load fits the capacity, and otherwise refused before anything has run: a refused
+//! caller may retry in time, one that is left waiting can't be served in time. Invariant: a request
+//! that is expected to meet its target is always admitted, and a small fraction of the others is,
+//! so that recovery is detected.
 
 use std::time::Duration;
 
 use bergamot_policy::Admit;
 
-/// Decides whether a request is taken up, and says by how much the expected time exceeds the
-/// target if it is not. `delays` are the expected times of its shards in milliseconds, of
-/// which `fewest` make a success; `draw` is a random number from 0 to 1.
+/// Decides whether a request is admitted; if not, returns by how much the expected latency exceeds
+/// the target. `delays` are the expected latencies of its shards in milliseconds, of which `fewest`
+/// are required for a success; `draw` is a random number from 0 to 1.
 pub fn admit(
     delays: &mut [f64],
     fewest: usize,
--- a/crates/dispatch/src/allowance.rs
+++ b/crates/dispatch/src/allowance.rs
@@ -1,40 +1,42 @@
-//! How many additional attempts a member may make at a service.
+//! The budget for additional attempts that a member makes at a service.
 //!
-//! The users bound the attempts beyond the first of each request over the whole fleet and
-//! any window of some seconds. No message about it travels on a request's path: a member
-//! earns from the requests that it has seen itself in the window, and takes its part of
-//! the slack by the number of members. Invariant: the members' spending adds up to at
-//! most `ratio * requests + slack`, as long as each counts every member that spends.
+//! The attempts beyond the first of each request are bounded over the whole fleet and any
+//! window of a few seconds. Members enforce the bound without exchanging messages on the
+//! request path: each earns budget from the requests that it has handled in the window itself,
+//! and takes its share of the slack according to the number of members. Invariant: the attempts
+//! of all members add up to at most `ratio * requests + slack`, as long as each counts every
+//! member that makes additional attempts.
 
 use std::time::{Duration, Instant};
 
 use bergamot_policy::Policy;
 
-/// How many buckets a window is counted in.
+/// The number of buckets that a window is divided into.
 const BUCKETS: usize = 20;
 
-/// What an additional attempt is for.
+/// Whether the outcome of a request depends on an additional attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// Without it the request fails.
+    /// The request fails without it.
     Required,
-    /// With it the answer is more complete or comes sooner.
+    /// The answer is more complete or earlier with it.
     Useful,
 }
 
 /// The bound on additional attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Additional attempts for each request.
+    /// Additional attempts per request.
     pub ratio: f64,
-    /// Additional attempts of the whole fleet in a window, whatever the requests.
+    /// Additional attempts of the whole fleet per window, independent of the requests.
     pub slack: f64,
     /// The length of the window.
     pub window: Duration,
 }
 
 impl Default for Terms {
-    /// A tenth of the requests in ten seconds, and one: a service is never doubled.
+    /// Allows a tenth of the requests plus one in ten seconds, so that retries never double the
+    /// load of a service.
     fn default() -> Self {
         Self { ratio: 0.1, slack: 1.0, window: Duration::from_secs(10) }
     }
@@ -42,12 +44,12 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    number: u64,
+    index: u64,
     requests: u32,
     extra: u32,
 }
 
-/// What one member has seen and spent at one service.
+/// The requests and additional attempts of one member at one service.
 #[derive(Clone, Debug)]
 pub struct Allowance {
     start: Instant,
@@ -55,17 +57,17 @@
 }
 
 impl Allowance {
-    /// Starts with nothing seen and nothing spent.
+    /// Creates a budget without requests or attempts.
     pub fn new(now: Instant) -> Self {
         Self { start: now, buckets: [Bucket::default(); BUCKETS] }
     }
 
-    /// Counts a request for the service.
+    /// Counts a request to the service.
     pub fn earn(&mut self, now: Instant, terms: &Terms) {
         self.bucket(now, terms).requests += 1;
     }
 
-    /// Spends one additional attempt if the bound has room for it.
+    /// Takes one additional attempt from the budget and returns whether it was available.
     pub fn spend(
         &mut self,
         now: Instant,
@@ -74,38 +76,39 @@
         members: usize,
         need: Need,
     ) -> bool {
-        let newest = self.number(now, terms);
-        let recent = |bucket: &&Bucket| bucket.number + BUCKETS as u64 > newest;
+        let newest = self.bucket_index(now, terms);
+        let in_window = |bucket: &&Bucket| bucket.index + BUCKETS as u64 > newest;
         let (requests, extra) = self
             .buckets
             .iter()
-            .filter(recent)
+            .filter(in_window)
             .fold((0, 0), |(requests, extra), b| (requests + b.requests, extra + b.extra));
         let margin = policy.margin;
         let (earned, slack) = if margin.on { (margin.earned, margin.slack) } else { (1.0, 1.0) };
         let earned = terms.ratio * earned * f64::from(requests);
         let slack = terms.slack * slack / members.max(1) as f64;
-        let keeps = policy.reserve.on && need == Need::Useful;
-        let part = if keeps { 1.0 - policy.reserve.part } else { 1.0 };
-        let granted = f64::from(extra) + 1.0 <= (earned + slack) * part;
+        let reserved = policy.reserve.on && need == Need::Useful;
+        let usable = if reserved { 1.0 - policy.reserve.part } else { 1.0 };
+        let granted = f64::from(extra) + 1.0 <= (earned + slack) * usable;
         if granted {
             self.bucket(now, terms).extra += 1;
         }
         granted
     }
 
-    fn number(&self, now: Instant, terms: &Terms) -> u64 {
+    fn bucket_index(&self, now: Instant, terms: &Terms) -> u64 {
         let length = (terms.window / BUCKETS as u32).max(Duration::from_millis(1));
         let since = now.saturating_duration_since(self.start);
-        // Numbers start at one, so that untouched buckets are never recent.
+        // The first index is `BUCKETS`, so that unused buckets, whose index is zero, are outside of
+        // every window.
         BUCKETS as u64 + (since.as_nanos() / length.as_nanos()) as u64
     }
 
     fn bucket(&mut self, now: Instant, terms: &Terms) -> &mut Bucket {
-        let number = self.number(now, terms);
-        let bucket = &mut self.buckets[(number % BUCKETS as u64) as usize];
-        if bucket.number != number {
-            *bucket = Bucket { number, ..Bucket::default() };
+        let index = self.bucket_index(now, terms);
+        let bucket = &mut self.buckets[(index % BUCKETS as u64) as usize];
+        if bucket.index != index {
+            *bucket = Bucket { index, ..Bucket::default() };
         }
         bucket
     }
--- a/crates/dispatch/src/comeback.rs
+++ b/crates/dispatch/src/comeback.rs
@@ -1,39 +1,40 @@
-//! When a caller who is refused may come back.
+//! When a refused caller should retry.
 //!
-//! A caller who comes back too early is refused again, and most try only once or twice: the
-//! request is lost. One who comes back late has only waited longer. So the time follows from
-//! what is known of the obstacle, and where its end is not known the longer wait is chosen.
-//! Invariant: the times are spread, so that those who were refused together don't return
-//! together, and no time is shorter than what any obstacle takes to pass.
+//! A caller that retries too early is refused again, and most callers retry only once or twice, so
+//! the request is lost. One that retries late has merely waited longer. The delay is therefore
+//! derived from what is known about the cause of the refusal, and the longer delay is chosen where
+//! the duration of the cause is unknown. Invariant: delays are randomized, so that callers that
+//! were refused together don't retry together, and no delay is shorter than the time in which any
+//! cause clears.
 
 use std::time::Duration;
 
 use bergamot_policy::ComeBack;
 
-/// What is in the way of a request.
+/// Why a request can't be served at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// Something that passes by itself: a pause of a searcher, a full queue, a start.
+    /// A condition that clears by itself: a pause of a searcher, a full queue, a process start.
     Passing,
-    /// The store can't be read, and nothing is known yet. Its return can't be foreseen.
+    /// The store can't be read and no state is available. When it returns can't be predicted.
     Outage,
-    /// The entries of living searchers are on their way back after an outage of the store,
-    /// and have returned after this time.
+    /// The entries of live searchers are being restored after an outage of the store, which is
+    /// complete after this time.
     Returning(Duration),
-    /// The searchers have so much more work before them than fits the target latency.
+    /// The queued work of the searchers exceeds the target latency by this time.
     Backlog(Duration),
 }
 
-/// Decides when a caller may come back; `draw` is a random number from 0 to 1.
+/// Returns the delay after which a caller should retry; `draw` is a random number from 0 to 1.
 pub fn comeback(obstacle: Obstacle, policy: &ComeBack, draw: f64) -> Duration {
-    let soon = policy.soonest + policy.spread.mul_f64(draw);
+    let shortest = policy.soonest + policy.spread.mul_f64(draw);
     if !policy.on {
-        return soon;
+        return shortest;
     }
     match obstacle {
-        Obstacle::Passing => soon,
+        Obstacle::Passing => shortest,
         Obstacle::Outage => policy.outage.mul_f64(1.0 + 0.5 * draw),
-        Obstacle::Returning(left) => left + soon,
-        Obstacle::Backlog(excess) => excess.min(policy.outage) + soon,
+        Obstacle::Returning(left) => left + shortest,
+        Obstacle::Backlog(excess) => excess.min(policy.outage) + shortest,
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,13 +1,15 @@
-//! The decisions about one request: whom to ask, when to ask another, when to answer.
+//! Decisions about the handling of one request: which searcher to query, when to hedge or retry,
+//! and when to answer.
 //!
-//! Everything here is pure: time and events go in, decisions come out, and no test needs
-//! a socket. [`Outlook`] estimates how long a searcher will take, [`rank`] orders the
-//! searchers, [`Allowance`] bounds the additional attempts of the whole fleet without a
-//! message between its members, [`Crossings`] knows how far other places are, [`Arrivals`] tells what of a caller's time passes elsewhere,
-//! [`Patience`] sets the moments of a request, [`Ending`]
-//! says what may follow the end of an exchange, [`comeback`] when a refused caller may
-//! return, [`Tally`] when a gathered answer goes
-//! out, and [`greatest`] what it holds. See `docs/design/0009-platform.md`.
+//! This crate is free of I/O: times and events are passed in and decisions are returned, so that
+//! tests need no sockets. [`Outlook`] estimates the latency of a searcher, and [`rank`] orders the
+//! searchers. [`Allowance`] bounds the additional attempts of the whole fleet without messages
+//! between its members. [`Crossings`] tracks the round-trip times to other zones, and [`Arrivals`]
+//! estimates how much of a caller's latency is spent elsewhere. [`Patience`] computes the timeouts
+//! of a request, and [`Ending`] determines what may follow the end of an exchange. [`admit`]
+//! decides whether a gathered request is admitted, and [`comeback`] when a refused caller should
+//! retry. [`Tally`] decides when a gathered answer is sent, and [`greatest`] merges its records.
+//! See `docs/design/0009-platform.md`.
 
 mod admit;
 mod allowance;
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -1,43 +1,43 @@
-//! The moments in the life of a request: when to hedge, when to answer, when to give up.
+//! The timeouts of a request: when to hedge, when to answer, when to give up.
 //!
-//! All of them are counted from the moment at which the request was read, and derive from
-//! what the route declares and what the caller will wait. Invariant: each moment is at or
-//! before the end of the caller's patience.
+//! All of them are relative to the time at which the request was read, and derive from the
+//! declaration of the route and the deadline of the caller. Invariant: no timeout exceeds the
+//! caller's deadline.
 
 use std::time::Duration;
 
 use bergamot_declaration::Route;
 use bergamot_policy::Policy;
 
-/// What the way back to the caller is given before the deadline.
+/// The time before the caller's deadline that is left for the answer to reach the caller.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
-/// The part of the target latency within which the first attempt must find a connection.
+/// The fraction of the target latency within which the first attempt must get a connection.
 ///
-/// A caller who is refused within a quarter of it can still be served in time elsewhere.
-const OFFER_PART: f64 = 0.25;
+/// A caller that is refused within a quarter of it can still be served in time elsewhere.
+const CONNECT_FRACTION: f64 = 0.25;
 
-/// The target latency that is assumed where none is declared, as a part of the timeout.
-const ASSUMED_TARGET: f64 = 0.25;
+/// The target latency where none is declared, as a fraction of the timeout.
+const DEFAULT_TARGET_FRACTION: f64 = 0.25;
 
-/// The moments of one request, counted from its arrival.
+/// The timeouts of one request, relative to its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Patience {
-    /// When a silent searcher is hedged.
+    /// When an attempt without an answer is hedged.
     pub hedge: Duration,
-    /// When an answer with the declared coverage goes out.
+    /// When an answer with the required coverage is sent.
     pub target: Duration,
-    /// When the request gets its final answer, whatever there is.
+    /// When the final answer is sent, whatever has arrived.
     pub end: Duration,
-    /// By when a first attempt must have found a connection.
+    /// When a first attempt must have got a connection.
     pub offer: Duration,
 }
 
 impl Patience {
-    /// Sets the moments for a request of a route whose caller waits for `deadline`.
+    /// Computes the timeouts of a request whose caller gives `deadline`.
     ///
-    /// `usual` is the time within which nearly all searchers of the route answer, and `away` what
-    /// passes before the request is read and after its answer is written, where that is known.
+    /// `usual` is the time within which nearly all searchers of the route answer, and `away` the
+    /// time before the request is read and after its answer is written, where they are known.
     pub fn new(
         route: &Route,
         deadline: Option<Duration>,
@@ -47,7 +47,7 @@
     ) -> Self {
         let wait = deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let end = wait.saturating_sub(DEADLINE_MARGIN).max(wait / 2);
-        let target = route.target_latency.unwrap_or(route.timeout.mul_f64(ASSUMED_TARGET));
+        let target = route.target_latency.unwrap_or(route.timeout.mul_f64(DEFAULT_TARGET_FRACTION));
         let hedge = policy.hedge;
         let usual = usual.map_or(Duration::ZERO, |usual| usual.mul_f64(hedge.factor));
         let (earliest, latest) = (target.mul_f64(hedge.earliest), target.mul_f64(hedge.latest));
@@ -57,7 +57,7 @@
             hedge: usual.clamp(earliest, latest).min(end),
             target: if policy.partial.on { in_time } else { end },
             end,
-            offer: target.mul_f64(OFFER_PART).min(end),
+            offer: target.mul_f64(CONNECT_FRACTION).min(end),
         }
     }
 }
--- a/crates/dispatch/src/rank.rs
+++ b/crates/dispatch/src/rank.rs
@@ -1,9 +1,9 @@
-//! The order in which the searchers of a service are asked.
+//! The order in which the searchers of a service are tried.
 //!
-//! The lowest expected time goes first. The expected time is widened by a small random
-//! part, so that members that know the same don't all choose the same. Invariant: every
-//! candidate stays in the order; one whose entry is missing from the registry goes after
-//! all others, since it may be leaving.
+//! The searcher with the lowest expected latency goes first. The expected latency is increased by a
+//! small random amount, so that members with the same information don't all choose the same
+//! searcher. Invariant: every candidate stays in the order; one whose entry is missing from the
+//! registry goes after all others, since it may be shutting down.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 impl Distance {
-    /// Measures the distance between two places, each a zone with its region.
+    /// Returns the distance between two locations, each a zone and its region.
     pub fn between(here: (&str, Option<&str>), there: (&str, Option<&str>)) -> Self {
         match (here, there) {
             _ if here.0 == there.0 => Self::Zone,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Guesses how long a searcher takes of which nothing has been seen: ten milliseconds of work
-    /// and the round trip, if it is known; else 3 ms between zones and 16 ms between regions.
+    /// Returns the initial latency estimate of a searcher without observations: 10 ms of work plus
+    /// the round-trip time, or if that is unknown, 3 ms between zones and 16 ms between regions.
     pub fn guess(self, round_trip: Option<Duration>) -> Duration {
         let assumed = Duration::from_millis(match self {
             Self::Zone => 0,
@@ -42,26 +42,26 @@
     }
 }
 
-/// A searcher that could be asked.
+/// A searcher that a request could be sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate<T> {
     /// The searcher.
     pub searcher: T,
-    /// Whether its entry is missing from the registry at the moment.
+    /// Whether its entry is currently missing from the registry.
     pub missing: bool,
-    /// How long it is expected to take, in milliseconds.
+    /// The expected latency, in milliseconds.
     pub expected: f64,
 }
 
-/// Orders the candidates, the best first; `draw` returns numbers from 0 to 1.
+/// Sorts the candidates, the best first; `draw` returns random numbers from 0 to 1.
 pub fn rank<T>(
     mut candidates: Vec<Candidate<T>>,
     policy: &Spread,
     mut draw: impl FnMut() -> f64,
 ) -> Vec<T> {
-    let part = if policy.on { policy.part } else { 0.0 };
+    let jitter = if policy.on { policy.part } else { 0.0 };
     for candidate in &mut candidates {
-        candidate.expected *= 1.0 + part * draw();
+        candidate.expected *= 1.0 + jitter * draw();
     }
     candidates
         .sort_by(|a, b| a.missing.cmp(&b.missing).then_with(|| a.expected.total_cmp(&b.expected)));
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -1,9 +1,9 @@
-//! The merge of shards' records: the greatest of all, compared as bytes.
+//! Merges the records of shards: the top k by byte order.
 //!
-//! A part that comes from another member may hold only its greatest records: most of the
-//! others are not among the greatest of all, and their bytes are paid for. Invariants: equal
-//! records all count, and what is shorter than a record is none; a merge is taken for the
-//! greatest of all only if no record that was left out can be among them.
+//! A part that another member sends may hold only its greatest records: most of the others are not
+//! in the top k of all shards, and the traffic for them is billed. Invariants: equal records all
+//! count, and a trailing fragment that is shorter than a record is ignored; a merge is considered
+//! complete only if no record that was left out can be in it.
 
 use std::cmp::Reverse;
 
@@ -13,7 +13,7 @@
 /// The length of a record, in bytes.
 pub const RECORD: usize = 16;
 
-/// Returns the `count` greatest records of all parts, the greatest first.
+/// Returns the `count` greatest records of all parts, in descending order.
 pub fn greatest(parts: &[Bytes], count: usize) -> Vec<u8> {
     let mut records: Vec<&[u8]> = parts.iter().flat_map(|part| part.chunks_exact(RECORD)).collect();
     if count < records.len() && count > 0 {
@@ -24,8 +24,8 @@
     records.concat()
 }
 
-/// Returns how many records of some of the shards are likely to suffice for the `count` greatest
-/// of `all` shards: the expected number and some standard deviations of it.
+/// Returns how many records of `shards` shards are likely to suffice for the `count` greatest
+/// records of `all` shards: the expected number plus several standard deviations.
 pub fn sufficient(count: usize, shards: usize, all: usize, policy: &Brief) -> usize {
     if !policy.on || shards >= all {
         return count;
@@ -36,8 +36,8 @@
     ((expected + deviation * policy.deviations).ceil() as usize + 1).min(count)
 }
 
-/// Tells whether records that were left out of a part, none of them greater than its last one,
-/// may be among the `count` greatest of a merge that holds the part.
+/// Returns whether records that were left out of a part, none of them greater than its last one,
+/// may be among the `count` greatest of a merge that includes the part.
 pub fn may_lack(part: &[u8], merged: &[u8], count: usize) -> bool {
     let last = |records: &[u8]| records.chunks_exact(RECORD).next_back().map(<[u8]>::to_vec);
     merged.len() < count * RECORD || last(part) > last(merged)
--- a/crates/dispatch/src/rhythm.rs
+++ b/crates/dispatch/src/rhythm.rs
@@ -1,12 +1,13 @@
-//! Silences that recur: a searcher that pauses in a rhythm is passed over before it pauses.
+//! Prediction of periodic stalls: a searcher that stalls at regular intervals is avoided shortly
+//! before it does.
 //!
-//! A member sees a silence as a request that is unanswered for several times the usual time
-//! while nothing else is answered either. The times from one silence of a searcher to its
-//! next are pooled over all searchers: where many of them agree, that is the [`Rhythm`]. A
-//! searcher whose [`Silences`] then fall together, a whole number of periods apart, is
-//! expected to be silent again at the same phase. Invariants: without agreement nothing is
-//! expected; an answer in the midst of an expected silence takes the expectation back; and
-//! an expectation lapses after some periods, so that it must be seen again.
+//! A stall is observed as a request that is unanswered for several times the usual latency while
+//! no other request to the searcher is answered. The intervals between the stalls of a searcher are
+//! pooled over all searchers, and the [`Rhythm`] is the interval on which many of them agree. If
+//! the stalls in a searcher's [`Silences`] are a whole number of periods apart, its next stall is
+//! predicted at the same phase. Invariants: nothing is predicted unless intervals agree; an answer
+//! in the middle of a predicted stall withdraws the prediction; and a prediction expires after
+//! several periods unless the stall is observed again.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,130 +15,131 @@
 
 use bergamot_policy::Foresight;
 
-/// How many times between silences are remembered.
-const GAPS: usize = 256;
+/// The number of intervals and durations of stalls that are kept.
+const MAX_SAMPLES: usize = 256;
 
-/// How many silences of one searcher are remembered: those of some periods, and others that slow
-/// requests seemed to show.
-const SILENCES: usize = 12;
+/// The number of stalls of one searcher that are kept: those of several periods, and false ones
+/// that slow requests seemed to indicate.
+const MAX_STALLS: usize = 12;
 
-/// To how many earlier silences of its searcher the time from a new one is taken: the one a period
-/// before may not be the last.
-const GAPS_EACH: usize = 3;
+/// The number of earlier stalls of a searcher from which the interval to a new one is taken: the
+/// stall one period earlier may not be the last one.
+const INTERVALS_PER_STALL: usize = 3;
 
-/// Within which part of it times between silences agree on a period. A pause is first met at some
-/// moment of its length, which is a few hundredths of its period.
-const AGREEMENT: f64 = 0.1;
+/// The relative tolerance within which intervals agree on a period. A stall is first observed at
+/// any point of its duration, which is a few hundredths of its period.
+const TOLERANCE: f64 = 0.1;
 
-/// The time between silences that the searchers of a member have in common.
+/// The stall period that the searchers of a member have in common.
 #[derive(Clone, Debug, Default)]
-pub struct Rhythm(Arc<Mutex<Gaps>>);
+pub struct Rhythm(Arc<Mutex<Samples>>);
 
 #[derive(Debug, Default)]
-struct Gaps {
-    seen: VecDeque<f64>,
+struct Samples {
+    intervals: VecDeque<f64>,
     period: Option<f64>,
-    /// How long the silences were that recurred, as far as they were seen.
-    lengths: VecDeque<f64>,
+    /// The observed durations of stalls, in seconds.
+    durations: VecDeque<f64>,
 }
 
 impl Rhythm {
-    /// Returns the period, if silences have one.
+    /// Returns the period, if the stalls are periodic.
     pub fn period(&self) -> Option<Duration> {
-        let gaps = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        gaps.period.map(Duration::from_secs_f64)
+        let samples = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        samples.period.map(Duration::from_secs_f64)
     }
 
-    /// Returns how long nearly all silences are, in seconds, as far as they were seen.
-    fn length(&self) -> f64 {
-        let gaps = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut lengths: Vec<f64> = gaps.lengths.iter().copied().collect();
-        if lengths.is_empty() {
+    /// Returns the 90th percentile of the observed durations of stalls, in seconds.
+    fn long_duration(&self) -> f64 {
+        let samples = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut durations: Vec<f64> = samples.durations.iter().copied().collect();
+        if durations.is_empty() {
             return 0.0;
         }
-        let rank = lengths.len() * 9 / 10;
-        *lengths.select_nth_unstable_by(rank, f64::total_cmp).1
+        let rank = durations.len() * 9 / 10;
+        *durations.select_nth_unstable_by(rank, f64::total_cmp).1
     }
 
-    fn add_length(&self, length: Duration) {
-        let mut gaps = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if gaps.lengths.len() == GAPS {
-            gaps.lengths.pop_front();
+    fn add_duration(&self, duration: Duration) {
+        let mut samples = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if samples.durations.len() == MAX_SAMPLES {
+            samples.durations.pop_front();
         }
-        gaps.lengths.push_back(length.as_secs_f64());
+        samples.durations.push_back(duration.as_secs_f64());
     }
 
-    /// Takes in the time from one silence of a searcher to its next.
-    fn add(&self, gap: Duration, policy: &Foresight) {
-        let mut gaps = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if gaps.seen.len() == GAPS {
-            gaps.seen.pop_front();
+    /// Records the interval between two stalls of a searcher.
+    fn add_interval(&self, interval: Duration, policy: &Foresight) {
+        let mut samples = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if samples.intervals.len() == MAX_SAMPLES {
+            samples.intervals.pop_front();
         }
-        gaps.seen.push_back(gap.as_secs_f64());
-        gaps.period = agreed(gaps.seen.iter().copied().collect(), policy);
+        samples.intervals.push_back(interval.as_secs_f64());
+        samples.period = find_period(samples.intervals.iter().copied().collect(), policy);
     }
 }
 
-/// Finds the time on which most of the gaps agree, if enough of them do.
-fn agreed(mut gaps: Vec<f64>, policy: &Foresight) -> Option<f64> {
-    gaps.sort_by(f64::total_cmp);
-    let alike = |first: usize| {
-        let end = gaps[first] * (1.0 + AGREEMENT);
-        &gaps[first..gaps.partition_point(|gap| *gap < end)]
+/// Returns the mean of the largest group of intervals that agree, if it is large enough.
+fn find_period(mut intervals: Vec<f64>, policy: &Foresight) -> Option<f64> {
+    intervals.sort_by(f64::total_cmp);
+    let agreeing = |first: usize| {
+        let end = intervals[first] * (1.0 + TOLERANCE);
+        &intervals[first..intervals.partition_point(|interval| *interval < end)]
     };
-    let best = (0..gaps.len()).map(alike).max_by_key(|alike| alike.len())?;
-    let enough = policy.fewest.max((gaps.len() as f64 * policy.agree).ceil() as usize);
+    let best = (0..intervals.len()).map(agreeing).max_by_key(|group| group.len())?;
+    let enough = policy.fewest.max((intervals.len() as f64 * policy.agree).ceil() as usize);
     (best.len() >= enough).then(|| best.iter().sum::<f64>() / best.len() as f64)
 }
 
-/// When a searcher was silent for certain.
+/// The time during which a searcher was certainly stalled.
 #[derive(Clone, Copy, Debug)]
-struct Silence {
+struct Stall {
     from: Instant,
     until: Instant,
 }
 
-/// The recent silences of one searcher.
+/// The recent stalls of one searcher.
 #[derive(Clone, Debug, Default)]
 pub struct Silences {
-    seen: VecDeque<Silence>,
+    stalls: VecDeque<Stall>,
 }
 
 impl Silences {
-    /// Takes in that the searcher was silent from one moment to another.
+    /// Records that the searcher was stalled between two times.
     pub fn silent(&mut self, from: Instant, until: Instant, rhythm: &Rhythm, policy: &Foresight) {
-        if let Some(last) = self.seen.back_mut()
+        if let Some(last) = self.stalls.back_mut()
             && from.saturating_duration_since(last.until) < policy.apart
         {
             last.until = last.until.max(until);
             last.from = last.from.min(from);
             return;
         }
-        if let Some(last) = self.seen.back() {
-            rhythm.add_length(last.until.saturating_duration_since(last.from));
+        if let Some(last) = self.stalls.back() {
+            rhythm.add_duration(last.until.saturating_duration_since(last.from));
         }
-        for before in self.seen.iter().rev().take(GAPS_EACH) {
-            rhythm.add(from.saturating_duration_since(before.from), policy);
+        for earlier in self.stalls.iter().rev().take(INTERVALS_PER_STALL) {
+            rhythm.add_interval(from.saturating_duration_since(earlier.from), policy);
         }
-        if self.seen.len() == SILENCES {
-            self.seen.pop_front();
+        if self.stalls.len() == MAX_STALLS {
+            self.stalls.pop_front();
         }
-        self.seen.push_back(Silence { from, until });
+        self.stalls.push_back(Stall { from, until });
     }
 
-    /// Takes in that the searcher worked from one moment to another.
+    /// Records that the searcher was working between two times. If a stall was predicted for all of
+    /// that time, the prediction is withdrawn.
     pub fn worked(&mut self, from: Instant, until: Instant, rhythm: &Rhythm, policy: &Foresight) {
         let middle = from + until.saturating_duration_since(from) / 2;
         if self
-            .expected(middle, rhythm, policy)
+            .predicted_at(middle, rhythm, policy)
             .is_some_and(|(begin, end)| begin < from && until < end)
         {
-            self.seen.clear();
+            self.stalls.clear();
         }
     }
 
-    /// Returns how long the searcher is expected to be silent for a request that is sent now and
-    /// takes `work`; nothing if it isn't.
+    /// Returns how long a predicted stall delays a request that is sent now and takes `work`; zero
+    /// if none is predicted.
     pub fn wait(
         &self,
         now: Instant,
@@ -145,13 +147,13 @@
         rhythm: &Rhythm,
         policy: &Foresight,
     ) -> Duration {
-        let Some((begin, end)) = self.expected(now + work, rhythm, policy) else {
+        let Some((begin, end)) = self.predicted_at(now + work, rhythm, policy) else {
             return Duration::ZERO;
         };
         end.saturating_duration_since(now.max(begin))
     }
 
-    /// Returns the silence that is expected now or next, if it begins before `until`.
+    /// Returns the current or next predicted stall, if it begins before `until`.
     pub fn next(
         &self,
         now: Instant,
@@ -160,56 +162,56 @@
         policy: &Foresight,
     ) -> Option<(Instant, Instant)> {
         let period = rhythm.period()?;
-        let last = self.seen.back()?;
-        let turns = now.saturating_duration_since(last.from).div_duration_f64(period).ceil();
-        let next = || self.expected(last.from + period.mul_f64(turns), rhythm, policy);
-        let silence = self.expected(now, rhythm, policy).or_else(next);
-        silence.filter(|(begin, end)| *begin < until && now < *end)
+        let last = self.stalls.back()?;
+        let cycles = now.saturating_duration_since(last.from).div_duration_f64(period).ceil();
+        let next = || self.predicted_at(last.from + period.mul_f64(cycles), rhythm, policy);
+        let stall = self.predicted_at(now, rhythm, policy).or_else(next);
+        stall.filter(|(begin, end)| *begin < until && now < *end)
     }
 
-    /// Returns the expected silence that a moment falls into, with a margin on both sides.
-    fn expected(
+    /// Returns the predicted stall that includes a time, with a margin on both sides.
+    fn predicted_at(
         &self,
         at: Instant,
         rhythm: &Rhythm,
         policy: &Foresight,
     ) -> Option<(Instant, Instant)> {
-        if !policy.on || self.seen.is_empty() {
+        if !policy.on || self.stalls.is_empty() {
             return None;
         }
         let period = rhythm.period()?.as_secs_f64();
         let mut agreeing = 0;
         let (mut begin, mut end) = (f64::NEG_INFINITY, f64::NEG_INFINITY);
-        for silence in &self.seen {
-            let age = at.saturating_duration_since(silence.from).as_secs_f64();
-            let turns = (age / period).round();
-            // How long before the moment the silence would have begun in this turn.
-            let since = age - turns * period;
-            let is_near = since.abs() < period * AGREEMENT / 2.0;
-            if !is_near || !(1.0..=policy.lapses).contains(&turns) {
+        for stall in &self.stalls {
+            let age = at.saturating_duration_since(stall.from).as_secs_f64();
+            let cycles = (age / period).round();
+            // How long before `at` the stall would have begun in this cycle.
+            let since = age - cycles * period;
+            let is_near = since.abs() < period * TOLERANCE / 2.0;
+            if !is_near || !(1.0..=policy.lapses).contains(&cycles) {
                 continue;
             }
-            let length = silence.until.saturating_duration_since(silence.from).as_secs_f64();
-            // One that lasts as long is an outage.
-            if length > period * AGREEMENT {
+            let duration = stall.until.saturating_duration_since(stall.from).as_secs_f64();
+            // A longer one is an outage.
+            if duration > period * TOLERANCE {
                 continue;
             }
             agreeing += 1;
-            // Each silence shows a part of the pause: the earliest begin and the latest end count.
+            // Each observation covers a part of the stall: use the earliest begin and latest end.
             begin = begin.max(since);
-            end = end.max(length - since);
+            end = end.max(duration - since);
         }
         if agreeing == 0 {
             return None;
         }
-        let unseen = (rhythm.length() - begin - end).max(0.0) * policy.unseen;
+        let unseen = (rhythm.long_duration() - begin - end).max(0.0) * policy.unseen;
         let begin = shift(at, -begin - unseen)?.checked_sub(policy.before)?;
         let end = shift(at, end + unseen)? + policy.after;
         (begin <= at && at < end).then_some((begin, end))
     }
 }
 
-fn shift(moment: Instant, seconds: f64) -> Option<Instant> {
+fn shift(time: Instant, seconds: f64) -> Option<Instant> {
     let by = Duration::from_secs_f64(seconds.abs());
-    if seconds < 0.0 { moment.checked_sub(by) } else { moment.checked_add(by) }
+    if seconds < 0.0 { time.checked_sub(by) } else { time.checked_add(by) }
 }
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -1,110 +1,111 @@
-//! When the answer that is gathered from many shards goes out.
+//! Decides when the answer to a request that is gathered from many shards is sent.
 //!
-//! Until the target latency the answer waits for every shard. From then on a truthful
-//! partial answer with the declared coverage serves the caller better than a complete one
-//! that comes late. Invariant: an answer goes out at most once, never below the declared
-//! coverage, and as soon as the coverage can't be reached any more the request has failed.
+//! Until the target latency the answer waits for every shard. After that, a partial answer with
+//! the declared coverage serves the caller better than a complete one that is late. Invariant: an
+//! answer is sent at most once and never below the declared coverage, and the request fails as
+//! soon as the coverage can't be reached any more.
 
 /// What to do with a gathered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Wait for more shards.
     Wait,
-    /// Answer with the shards that are in.
+    /// Answer with the shards that have arrived.
     Answer,
-    /// Give up: too few shards can still come.
+    /// Fail the request: too few shards can still arrive.
     Fail,
 }
 
-/// The count of the shards of one request.
+/// The state of the shards of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tally {
     shards: usize,
-    fewest: usize,
+    required: usize,
     arrived: usize,
     missing: usize,
     deferred: usize,
-    decided: Option<bool>,
+    /// The result of [`Tally::needs_deferred`], once it was decided.
+    retry_deferred: Option<bool>,
 }
 
 impl Tally {
-    /// Starts the count for a number of shards of which `fewest` make a success.
-    pub fn new(shards: usize, fewest: usize) -> Self {
-        Self { shards, fewest, arrived: 0, missing: 0, deferred: 0, decided: None }
+    /// Creates the state for a number of shards of which `required` make a success.
+    pub fn new(shards: usize, required: usize) -> Self {
+        Self { shards, required, arrived: 0, missing: 0, deferred: 0, retry_deferred: None }
     }
 
-    /// Tells whether this counts one searcher's answer, and not shards.
+    /// Returns whether the request goes to a single searcher rather than to several shards.
     pub fn is_single(&self) -> bool {
         self.shards == 1
     }
 
-    /// Counts a shard that is in.
+    /// Records that a shard has arrived.
     pub fn arrive(&mut self) {
         self.arrived += 1;
     }
 
-    /// Counts a shard that can't be had any more.
+    /// Records that a shard can't arrive any more.
     pub fn miss(&mut self) {
         self.missing += 1;
     }
 
-    /// Counts shards that were in and can't be used.
+    /// Records that shards which had arrived can't be used.
     pub fn lose(&mut self, shards: usize) {
         self.arrived -= shards;
         self.missing += shards;
     }
 
-    /// Returns how many shards are in.
+    /// Returns how many shards have arrived.
     pub fn arrived(&self) -> usize {
         self.arrived
     }
 
-    /// Returns how many shards are not in.
+    /// Returns how many shards have not arrived.
     pub fn absent(&self) -> usize {
         self.shards - self.arrived
     }
 
-    /// Counts a shard whose first attempt failed, and whose next waits until it is known
-    /// whether the request needs it.
+    /// Records that the first attempt of a shard failed, and that its retry is deferred until it is
+    /// known whether the request needs it.
     pub fn defer(&mut self) {
         self.deferred += 1;
     }
 
-    /// Counts a shard that no longer waits for its next attempt.
+    /// Records that the retry of a shard is no longer deferred.
     pub fn resume(&mut self) {
         self.deferred -= 1;
     }
 
-    /// Tells whether every shard is in, missing or deferred.
+    /// Returns whether every shard has arrived, is missing or is deferred.
     pub fn first_attempts_ended(&self) -> bool {
         self.arrived + self.missing + self.deferred == self.shards
     }
 
-    /// Decides once for all deferred shards whether the request needs them and has a fair
-    /// chance with them.
+    /// Decides once for all deferred shards whether the request needs them and is likely to
+    /// succeed with them.
     ///
-    /// While searchers refuse most of their work, a second attempt succeeds less than half
-    /// the time: a request that needs more than a third of its deferred shards would spend
-    /// for little what helps another.
+    /// While searchers refuse most of their work, a second attempt succeeds less than half of the
+    /// time: a request that needs more than a third of its deferred shards would probably fail in
+    /// spite of the budget that it takes from other requests.
     pub fn needs_deferred(&mut self) -> bool {
         let without = self.shards - self.missing - self.deferred;
-        let needed = self.fewest.saturating_sub(without);
-        let needs = needed > 0 && needed * 3 <= self.deferred;
-        *self.decided.get_or_insert(needs)
+        let needed = self.required.saturating_sub(without);
+        let retry = needed > 0 && needed * 3 <= self.deferred;
+        *self.retry_deferred.get_or_insert(retry)
     }
 
-    /// Tells whether too many shards are still out for an answer with the coverage.
+    /// Returns whether fewer shards have arrived than the coverage requires.
     pub fn needs_more(&self) -> bool {
-        self.arrived < self.fewest
+        self.arrived < self.required
     }
 
-    /// Says what to do, before the target latency has passed or after.
+    /// Decides what to do next; `late` is whether the target latency has passed.
     pub fn verdict(&self, late: bool) -> Verdict {
-        if self.shards - self.missing < self.fewest {
+        if self.shards - self.missing < self.required {
             return Verdict::Fail;
         }
         let settled = self.arrived + self.missing == self.shards;
-        if settled || (late && self.arrived >= self.fewest) {
+        if settled || (late && self.arrived >= self.required) {
             return Verdict::Answer;
         }
         Verdict::Wait
--- a/crates/dispatch/tests/arrivals.rs
+++ b/crates/dispatch/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! What deadlines tell of the time that callers have spent: patterns of callers.
+//! Estimates of the time that callers have spent, from the deadlines of simulated callers.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const TARGET: Duration = Duration::from_millis(100);
 
-/// A strict route: 100 ms of 1,500.
+/// A route with a strict target: 100 ms, with a timeout of 1,500 ms.
 fn route() -> Route {
     Route {
         name: "r".into(),
@@ -25,50 +25,52 @@
     }
 }
 
-/// Callers who are `trip` ms away: seven in ten requests come on a kept connection, one in ten after
-/// the caller asked for an address, two in ten after that and on a new connection.
+/// Simulates callers with a round trip of `trip` ms: seven in ten requests arrive on a kept
+/// connection, one in ten after an address lookup, two in ten after a lookup and on a new
+/// connection.
 fn callers(trip: u32) -> Arrivals {
     let mut arrivals = Arrivals::default();
     for turn in 0..100_u32 {
         let trips = [0, 0, 2, 0, 1, 0, 0, 2, 0, 0][turn as usize % 10];
-        // What a caller takes to send makes round trips seem longer by a millisecond or two.
-        let own = (turn % 2) * u32::from(trips > 0);
-        arrivals.see(MS * (1500 - trip * trips - own));
+        // The time that the caller takes to send adds up to a millisecond to the round trips.
+        let send_time = (turn % 2) * u32::from(trips > 0);
+        arrivals.see(MS * (1500 - trip * trips - send_time));
     }
     arrivals
 }
 
-/// When an answer must be on its way for its caller to have it in time, and when it goes out.
-fn moments(arrivals: &Arrivals, trip: u32, trips: u32) -> (Duration, Duration) {
+/// Returns the latest time at which an answer can be sent to arrive in time, and the time at which
+/// it is sent.
+fn latest_and_actual(arrivals: &Arrivals, trip: u32, trips: u32) -> (Duration, Duration) {
     let deadline = MS * (1500 - trip * trips);
     let away = arrivals.away(deadline, TARGET, &Arrival::default());
-    let goes = Patience::new(&route(), Some(deadline), None, away, &Policy::default()).target;
-    (MS * (100 - trip * trips - trip), goes)
+    let sent = Patience::new(&route(), Some(deadline), None, away, &Policy::default()).target;
+    (MS * (100 - trip * trips - trip), sent)
 }
 
-/// The pattern: searchers pause, and the answers of the others are in long before the target.
-/// Each millisecond that a strict request waits for its last shards makes it more complete, but
-/// an answer that comes late has lost all. Answered as if every caller had asked for an address
-/// and opened a connection, two requests of three go out 12 ms before they need.
+/// Guards against answering too early: while searchers are paused, each millisecond that a strict
+/// request waits for its last shards makes it more complete, but a late answer is worthless. If
+/// every caller was assumed to have looked up an address and opened a connection, two of three
+/// answers were sent 12 ms earlier than necessary.
 #[test]
-fn an_answer_goes_out_as_late_as_its_own_caller_allows() {
+fn an_answer_is_sent_as_late_as_its_caller_allows() {
     for (trip, trips) in [(6, 0), (6, 1), (6, 2), (2, 0), (2, 2), (14, 0), (14, 1)] {
-        let (latest, goes) = moments(&callers(trip), trip, trips);
-        assert!(goes < latest, "{trips} trips of {trip} ms: {goes:?} of {latest:?}");
-        assert!(goes + MS * 10 > latest, "{trips} trips of {trip} ms: {goes:?} of {latest:?}");
+        let (latest, sent) = latest_and_actual(&callers(trip), trip, trips);
+        assert!(sent < latest, "{trips} trips of {trip} ms: {sent:?} of {latest:?}");
+        assert!(sent + MS * 10 > latest, "{trips} trips of {trip} ms: {sent:?} of {latest:?}");
     }
 }
 
-/// A caller who was refused or who waited elsewhere counts anew.
+/// A caller that was refused or waited elsewhere measures latency anew.
 #[test]
-fn nothing_is_concluded_of_a_caller_who_has_spent_the_target() {
+fn no_estimate_is_made_for_a_caller_that_has_spent_the_target() {
     let arrivals = callers(6);
     assert_eq!(arrivals.away(MS * 400, TARGET, &Arrival::default()), None);
 }
 
-/// Where each caller waits for another time, shortfalls say nothing.
+/// If callers use different deadlines, shortfalls carry no information.
 #[test]
-fn nothing_is_concluded_without_a_common_deadline_nor_from_a_few_requests() {
+fn no_estimate_is_made_without_a_common_deadline_or_from_few_requests() {
     let mut arrivals = Arrivals::default();
     for turn in 0..100_u32 {
         arrivals.see(MS * (1000 + turn * 37 % 100 * 5));
@@ -79,9 +81,10 @@
     assert_eq!(few.away(MS * 1500, TARGET, &Arrival::default()), None);
 }
 
-/// A shorter deadline in a new release of the callers is the whole after some hundred requests.
+/// A shorter deadline in a new release of the callers replaces the full deadline after 256
+/// requests.
 #[test]
-fn a_deadline_that_changes_is_learned_anew() {
+fn a_changed_deadline_is_adopted() {
     let mut arrivals = callers(6);
     for _ in 0..256 {
         arrivals.see(MS * 1200);
--- a/crates/dispatch/tests/comeback.rs
+++ b/crates/dispatch/tests/comeback.rs
@@ -1,4 +1,4 @@
-//! When refused callers may come back: patterns of an outage, played against the decision.
+//! When refused callers should retry: simulated outages.
 
 use std::time::Duration;
 
@@ -7,45 +7,45 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How a caller heeds a time to come back: at most a third of what they have left.
-fn heeded(after: Duration, left: Duration) -> Duration {
+/// Returns how long a caller waits when told to retry: at most a third of its remaining time.
+fn actual_wait(after: Duration, left: Duration) -> Duration {
     after.min(left / 3)
 }
 
-/// Plays callers who come evenly while nothing is known, and who come back once, as the users'
-/// callers do. Returns how many were refused twice, and the most who came in a tenth of a second.
-fn lost(policy: &ComeBack, outage: Duration, deadline: Duration) -> (usize, usize) {
+/// Simulates callers that arrive evenly during an outage and retry once. Returns how many were
+/// refused twice, and the maximum number of retries within 100 ms.
+fn simulate(policy: &ComeBack, outage: Duration, deadline: Duration) -> (usize, usize) {
     const CALLERS: u32 = 100;
-    let mut returns = [0; 40];
+    let mut retries = [0; 40];
     let mut twice = 0;
     for caller in 0..CALLERS {
         let first = outage * caller / CALLERS;
         let draw = f64::from(caller * 37 % CALLERS) / f64::from(CALLERS);
-        let back = first + heeded(comeback(Obstacle::Outage, policy, draw), deadline);
-        twice += usize::from(back < outage);
-        returns[(back.as_millis() / 100) as usize] += 1;
+        let retried = first + actual_wait(comeback(Obstacle::Outage, policy, draw), deadline);
+        twice += usize::from(retried < outage);
+        retries[(retried.as_millis() / 100) as usize] += 1;
     }
-    (twice, returns.into_iter().max().unwrap_or_default())
+    (twice, retries.into_iter().max().unwrap_or_default())
 }
 
-/// The pattern: all processes lost their power while the store is away. They are back before
-/// the store, which stays away for 800 ms more, and know nothing. Callers wait for 3 s at the most
-/// and come back once. Told to return after 300 ms, most are refused again and lost.
+/// Guards against requests that are refused twice: after a power failure, all processes restart
+/// without state 800 ms before the store is available again, and callers wait for up to 3 s and
+/// retry once. If told to retry after 300 ms, most are refused again.
 #[test]
-fn callers_who_meet_an_outage_return_once_it_is_over() {
-    let soonest = ComeBack { on: false, ..ComeBack::default() };
+fn callers_refused_during_an_outage_retry_after_it() {
+    let off = ComeBack { on: false, ..ComeBack::default() };
     let (outage, deadline) = (MS * 800, MS * 3000);
-    let (lost_soonest, _) = lost(&soonest, outage, deadline);
-    let (lost, most) = lost(&ComeBack::default(), outage, deadline);
-    assert!(lost_soonest > 60, "{lost_soonest} of 100");
+    let (lost_if_off, _) = simulate(&off, outage, deadline);
+    let (lost, most) = simulate(&ComeBack::default(), outage, deadline);
+    assert!(lost_if_off > 60, "{lost_if_off} of 100");
     assert!(lost == 0, "{lost} of 100");
-    assert!(most <= 20, "{most} of 100 came back at the same time");
+    assert!(most <= 20, "{most} of 100 retried at the same time");
 }
 
-/// The pattern: the store is back, and the entries of living searchers return with their next
-/// heartbeat, 1.2 s later at the most. A shard without an entry can't be asked before.
+/// After an outage of the store, the entries of live searchers are restored by their next
+/// heartbeat, at most 1.2 s later. Until then, a shard without an entry can't be queried.
 #[test]
-fn callers_return_after_the_entries_of_the_searchers() {
+fn callers_retry_after_the_entries_are_restored() {
     let policy = ComeBack::default();
     for left in [0, 300, 1200] {
         let (left, draws) = (MS * left, [0.0, 0.5, 1.0]);
@@ -56,9 +56,9 @@
     }
 }
 
-/// The pattern: the searchers have 400 ms more work before them than fits the target latency.
+/// The queued work of the searchers exceeds the target latency by 400 ms, and by a minute.
 #[test]
-fn callers_return_after_the_backlog_and_never_much_later_than_an_outage() {
+fn callers_retry_after_the_backlog_but_not_much_later_than_after_an_outage() {
     let policy = ComeBack::default();
     let after = |excess| comeback(Obstacle::Backlog(excess), &policy, 0.0);
     assert_eq!(after(MS * 400), MS * 550);
--- a/crates/dispatch/tests/crossing.rs
+++ b/crates/dispatch/tests/crossing.rs
@@ -1,4 +1,4 @@
-//! Places are as far as new connections say, and as the policy guesses until one was opened.
+//! Round-trip times to zones, observed from new connections.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_fastest_connection_is_the_way() {
+fn the_fastest_connection_gives_the_round_trip() {
     let (mut crossings, now) = (Crossings::default(), Instant::now());
     let zone = Name::from("far");
     assert_eq!(crossings.round_trip("far"), None);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_nearest_zone_of_a_region_counts_for_it() {
+fn the_nearest_zone_gives_the_round_trip_to_a_region() {
     let (mut crossings, now) = (Crossings::default(), Instant::now());
     for (zone, took) in [("east-1", 40), ("east-2", 36), ("west-1", 3)] {
         crossings.note(&Name::from(zone), ms(took), now);
@@ -31,9 +31,9 @@
     assert_eq!(crossings.nearest(|zone| zone.starts_with("north")), None);
 }
 
-/// A way that has become longer is known after two windows at the latest.
+/// A route whose round trip has increased is detected after at most two windows.
 #[test]
-fn a_way_that_has_become_longer_is_learnt() {
+fn an_increased_round_trip_is_detected() {
     let (mut crossings, start) = (Crossings::default(), Instant::now());
     let zone = Name::from("far");
     crossings.note(&zone, ms(16), start);
--- a/crates/dispatch/tests/dispatch.rs
+++ b/crates/dispatch/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The decisions about a request, without sockets or sleeping.
+//! The decisions about one request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn only_a_certain_end_lets_a_request_that_may_run_once_be_sent_again() {
+fn a_non_idempotent_request_is_sent_again_only_if_it_did_not_run() {
     use Ending::{Failed, NotRun, NotSent, Unknown};
     for ending in [NotSent, NotRun] {
         assert!(ending.did_not_run() && ending.may_resend(Kind::NonIdempotent));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_gathered_answer_waits_until_the_target_and_never_goes_out_below_its_coverage() {
+fn a_gathered_answer_waits_until_the_target_and_is_never_sent_below_its_coverage() {
     let mut tally = Tally::new(20, 18);
     for _ in 0..17 {
         tally.arrive();
@@ -40,21 +40,21 @@
     assert_eq!((tally.verdict(false), tally.absent()), (Verdict::Answer, 2));
 }
 
-/// The pattern: half of the searchers refuse six in ten requests for nine seconds. A shard
-/// whose two searchers both do is in for half of the requests at best, whatever is spent.
-/// Of twenty shards, five are such; eighteen make a success. The figures are those of the
-/// heavy days of both sites: 90 requests a second, a ratio of 0.2, a slack of 56 of which
+/// Guards against spending the retry budget on requests that succeed without it: half of the
+/// searchers refuse 60% of their requests for nine seconds, so that a shard with two such searchers
+/// arrives for at most half of the requests. This affects five of twenty shards, of which eighteen
+/// are required. The load is 90 requests per second with a ratio of 0.2 and a slack of 56, of which
 /// the members spend half.
 #[test]
-fn while_searchers_refuse_the_allowance_goes_to_requests_that_would_fail() {
-    let failed = |keep: bool| {
+fn under_refusals_the_retry_budget_goes_to_requests_that_would_fail() {
+    let failed = |reserve: bool| {
         let terms = Terms { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
         let start = Instant::now();
         let mut allowances = vec![Allowance::new(start); 20];
         let mut failed = 0;
         let mut draw = 0_u32;
         let mut refused = || {
-            // A fixed sequence of well spread numbers, six in ten of them refusals.
+            // A fixed pseudo-random sequence, of which 60% are refusals.
             draw = draw.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
             (draw >> 16) % 10 < 6
         };
@@ -65,7 +65,7 @@
                 allowance.earn(now, &terms);
                 if shard >= 5 || !refused() {
                     tally.arrive();
-                } else if !keep {
+                } else if !reserve {
                     let again = allowance.spend(now, &terms, &Policy::default(), 1, Need::Required)
                         && !refused();
                     if again { tally.arrive() } else { tally.miss() }
@@ -87,21 +87,22 @@
         }
         failed
     };
-    let (kept, spent) = (failed(true), failed(false));
-    assert!(kept * 10 < spent * 9, "{kept} of {spent}");
+    let (reserved, unreserved) = (failed(true), failed(false));
+    assert!(reserved * 10 < unreserved * 9, "{reserved} failed, {unreserved} without the reserve");
 }
 
-/// The pattern: for some seconds callers ask for twice what the searchers of a shard can do
-/// (93 requests a second for each of 20 shards, two searchers with two slots and 17 ms of
-/// work each, times 3.4). Taken up all, the queue grows until every answer is late; with the
-/// queue as the only signal, most of what is taken up must be in time.
+/// Guards against late answers under overload: for several seconds the offered load exceeds the
+/// capacity of a shard's searchers (93 requests per second, times 3.4, for each of 20 shards; two
+/// searchers with two slots and 17 ms of work per request). If all requests are admitted, the queue
+/// grows until every answer is late. With the queue as the only signal, most admitted requests must
+/// be in time.
 #[test]
-fn in_a_burst_most_of_what_is_taken_up_is_in_time() {
-    let served = |refuse: bool| {
+fn in_a_burst_most_admitted_requests_are_in_time() {
+    let simulate = |refuse: bool| {
         let target = MS * 174;
-        let (mut backlog, mut in_time, mut taken) = (0.0_f64, 0, 0);
+        let (mut backlog, mut in_time, mut admitted) = (0.0_f64, 0, 0);
         for turn in 0..1500_u32 {
-            // One request each 3.2 ms brings 17 ms of work to four slots.
+            // One request every 3.2 ms adds 17 ms of work to four slots.
             backlog = (backlog - 3.2 * 4.0).max(0.0);
             let delay = 17.0 + backlog / 4.0;
             let draw = f64::from(turn * 37 % 100) / 100.0;
@@ -109,27 +110,27 @@
                 continue;
             }
             backlog = (backlog + 17.0).min(28.0 * 17.0 * 4.0);
-            taken += 1;
+            admitted += 1;
             in_time += u32::from(delay <= 174.0);
         }
-        (in_time, taken)
+        (in_time, admitted)
     };
-    let ((all_in_time, _), (in_time, taken)) = (served(false), served(true));
-    assert!(in_time > all_in_time, "{in_time} of {taken}, {all_in_time} without refusals");
+    let ((all_in_time, _), (in_time, admitted)) = (simulate(false), simulate(true));
+    assert!(in_time > all_in_time, "{in_time} of {admitted}, {all_in_time} without refusals");
 }
 
 #[test]
-fn a_request_that_is_expected_in_time_is_always_taken_up() {
+fn a_request_that_is_expected_in_time_is_always_admitted() {
     let mut delays = [20.0, 30.0, 40.0, 9000.0];
     assert_eq!(admit(&mut delays, 3, MS * 50, &Admit::default(), 0.999), Ok(()));
     assert_ne!(admit(&mut delays, 3, MS * 30, &Admit::default(), 0.999), Ok(()));
-    // Of what can't be in time, some is taken up, to notice that the searchers recover.
+    // Some requests that can't be in time are admitted, to detect that the searchers recover.
     assert_ne!(admit(&mut delays, 4, MS * 50, &Admit::default(), 0.5), Ok(()));
     assert_eq!(admit(&mut delays, 4, MS * 50, &Admit::default(), 0.1), Ok(()));
 }
 
 #[test]
-fn a_gather_fails_as_soon_as_its_coverage_is_out_of_reach() {
+fn a_gathered_request_fails_as_soon_as_its_coverage_is_unreachable() {
     let mut tally = Tally::new(20, 18);
     for _ in 0..3 {
         tally.miss();
@@ -137,9 +138,9 @@
     assert_eq!(tally.verdict(false), Verdict::Fail);
 }
 
-/// A searcher that pauses shows it by an unanswered request, before any answer is late.
+/// A paused searcher must be avoided because of its unanswered request, before any answer is late.
 #[test]
-fn a_searcher_that_pauses_is_passed_over_while_its_request_is_unanswered() {
+fn a_paused_searcher_is_avoided_while_its_request_is_unanswered() {
     let now = Instant::now();
     let (mut near, mut far) = (
         Outlook::new(MS * 10, Arc::default(), Rhythm::default()),
@@ -156,8 +157,8 @@
     let later = now + MS * 40;
     assert!(near.expected(later, 2, false) > far.expected(later, 2, false));
     near.answer(now, later);
-    for beat in 0..20 {
-        let sent = later + MS * 60 * beat;
+    for turn in 0..20 {
+        let sent = later + MS * 60 * turn;
         near.send(sent);
         near.answer(sent, sent + MS * 11);
     }
@@ -165,10 +166,10 @@
     assert!(near.expected(after, 2, false) < far.expected(after, 2, false));
 }
 
-/// Some searchers work several times as long for seconds: a few answers must show it, and
-/// some seconds later they must be tried again.
+/// Some searchers are several times slower for a few seconds: a few answers must reveal that, and
+/// several seconds later the searcher must be tried again.
 #[test]
-fn a_slow_searcher_is_left_within_a_few_answers_and_tried_again_later() {
+fn a_slow_searcher_is_avoided_after_a_few_answers_and_tried_again_later() {
     let start = Instant::now();
     let mut near = Outlook::new(MS * 10, Arc::default(), Rhythm::default());
     let mut now = start;
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn a_searcher_that_fails_without_delay_does_not_look_fast() {
+fn a_searcher_that_fails_fast_is_not_preferred() {
     let mut now = Instant::now();
     let mut near = Outlook::new(MS * 10, Arc::default(), Rhythm::default());
     for turn in 0..20 {
@@ -198,12 +199,12 @@
     assert!(near.expected(now, 2, false) > 27.0);
 }
 
-/// The pattern: one of two searchers refuses six in ten requests for nine seconds, at the
-/// rate of one member on a heavy day (ten requests a second). Each refusal costs an attempt
-/// from an allowance of a quarter of the requests, so few may be spent on finding out
-/// whether it is well again; and once it is, it must be used again within seconds.
+/// Guards against spending the retry budget on probing: one of two searchers refuses 60% of its
+/// requests for nine seconds, at the load of one member on a heavy day (ten requests per second).
+/// Each refusal costs an attempt from a budget of a quarter of the requests, so only few may probe
+/// whether the searcher has recovered, and once it has, it must be used again within seconds.
 #[test]
-fn a_searcher_that_refuses_is_hardly_tried_until_it_is_well_again() {
+fn a_refusing_searcher_is_rarely_tried_until_it_has_recovered() {
     let start = Instant::now();
     let (mut near, mut far) = (
         Outlook::new(MS * 10, Arc::default(), Rhythm::default()),
@@ -213,7 +214,7 @@
     for turn in 0..250_u32 {
         let now = start + MS * 100 * turn;
         let refusing = (20..110).contains(&turn);
-        // The far one counts half as much again for its dear bytes.
+        // The penalty for traffic between regions is a factor of 1.5.
         if near.expected(now, 2, false) > far.expected(now, 2, false) * 1.5 {
             far.send(now);
             far.answer(now, now + MS * 27);
@@ -229,11 +230,14 @@
         }
     }
     assert!(refused <= 12, "{refused} of 90 requests were refused");
-    assert!(near_later == 70, "{near_later} of 70 requests went to the near one again");
+    assert!(
+        near_later == 70,
+        "{near_later} of 70 requests went to the near searcher after its recovery"
+    );
 }
 
 #[test]
-fn missing_entries_go_last_and_the_faster_first() {
+fn faster_searchers_go_first_and_those_without_an_entry_last() {
     let candidate = |searcher, missing, expected| Candidate { searcher, missing, expected };
     let all =
         vec![candidate('a', true, 1.0), candidate('b', false, 30.0), candidate('c', false, 10.0)];
@@ -241,7 +245,7 @@
 }
 
 #[test]
-fn the_moments_of_a_request_stay_within_the_callers_patience() {
+fn the_timeouts_of_a_request_do_not_exceed_its_deadline() {
     let route = Route {
         name: "r".into(),
         host: "h".into(),
@@ -264,7 +268,7 @@
 
 proptest! {
     #[test]
-    fn the_greatest_records_are_those_of_a_full_sort(
+    fn the_merge_equals_a_full_sort(
         parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..8),
         count in 0_usize..30,
     ) {
@@ -278,8 +282,8 @@
         prop_assert_eq!(greatest(&parts, count), wanted);
     }
 
-    /// Whatever the pattern of requests and attempts over several members, what they spend
-    /// in any window stays within the users' bound for it.
+    /// For any sequence of requests and attempts at several members, the additional attempts in any
+    /// window stay within the configured bound.
     #[test]
     fn members_together_stay_within_the_bound_of_every_window(
         steps in prop::collection::vec((0_u64..120, 0_usize..4, any::<bool>()), 1..600),
--- a/crates/dispatch/tests/load.rs
+++ b/crates/dispatch/tests/load.rs
@@ -1,9 +1,9 @@
-//! Patterns of load, played against the decisions by a small model of one shard.
+//! Load patterns, simulated with a small model of one shard.
 //!
-//! The model: two searchers with two slots each, requests that come evenly, work that varies
-//! around a mean, a fixed sequence of numbers for what is random. A request asks the searcher
-//! with less work before it, and the other one once it is hedged, if the allowance has room;
-//! the first answer wins, and the loser is cut.
+//! The model has two searchers with two slots each, randomly spaced requests, work that varies
+//! around a mean, and a fixed pseudo-random sequence. A request goes to the searcher with the
+//! shorter queue, and when it is hedged also to the other one, if the retry budget allows it. The
+//! first answer is used and the other attempt is cancelled.
 
 use std::time::{Duration, Instant};
 
@@ -13,15 +13,15 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How many of the recent answers make the usual time.
+/// The number of recent answers from which the usual latency is computed.
 const RECENT: usize = 200;
 
-/// Within how many milliseconds an answer is in time: a target of 200 ms, less the ways to the
-/// caller and between the instances.
+/// The latency up to which an answer is in time, in milliseconds: a target of 200 ms, less the
+/// network latency to the caller and between the instances.
 const IN_TIME: u64 = 160;
 
-/// The percentile of them that is usual, as in `bergamot-relay`.
-const USUAL: usize = 94;
+/// The percentile that is the usual latency, as in `bergamot-relay`.
+const USUAL_PERCENTILE: usize = 94;
 
 struct Job {
     arrived: u64,
@@ -50,9 +50,9 @@
     }
 }
 
-/// Plays `per_s` requests a second of `work` ms for ten seconds; `hedge` turns the usual time
-/// into the moment of the hedge.
-fn play(per_s: u64, work: f64, hedge: impl Fn(Option<Duration>) -> Duration) -> Outcome {
+/// Simulates `per_s` requests per second of `work` ms for ten seconds; `hedge` returns the hedge
+/// delay for the usual latency.
+fn simulate(per_s: u64, work: f64, hedge: impl Fn(Option<Duration>) -> Duration) -> Outcome {
     const END: u64 = 10_000;
     let mut state = 1_u32;
     let mut draw = move || {
@@ -69,10 +69,10 @@
     for now in 0..END {
         while due <= now as f64 {
             due += 2.0 * draw() * 1000.0 / per_s as f64;
-            let ahead = |at: usize| jobs.iter().filter(|job| job.left[at].is_some()).count();
-            let first = usize::from(ahead(1) < ahead(0));
+            let queued = |at: usize| jobs.iter().filter(|job| job.left[at].is_some()).count();
+            let first = usize::from(queued(1) < queued(0));
             let mut left = [None, None];
-            // Half to one and a half times the mean, and now and then five times as much.
+            // Between 0.5 and 1.5 times the mean, and five times as much for 1% of the requests.
             let tail = if draw() < 0.01 { 5.0 } else { 1.0 };
             left[first] = Some(work * tail * (0.5 + draw()));
             let usual = usual(&times);
@@ -116,30 +116,30 @@
 fn usual(times: &[u64]) -> Option<Duration> {
     let mut recent = times[times.len().saturating_sub(RECENT)..].to_vec();
     recent.sort_unstable();
-    recent.get(recent.len() * USUAL / 100).map(|ms| MS * *ms as u32)
+    recent.get(recent.len() * USUAL_PERCENTILE / 100).map(|ms| MS * *ms as u32)
 }
 
-/// The pattern: twice the usual callers come for ten seconds. Of Caldermuir's 112 requests a
-/// second, 90 ask every shard; twice that is 184 requests a second at each, three in four with
-/// 20 ms of work and one with 6.7, on four slots: they are busy for 0.77 of the time, and queues
-/// are often longer than the usual time of a calm moment.
+/// Guards against hedges that displace first attempts: twice the usual load for ten seconds, which
+/// is 184 requests per second at each shard (of 112 requests per second, 90 go to every shard),
+/// three in four with 20 ms of work and one in four with 6.7 ms, on four slots. The slots are busy
+/// for 0.77 of the time, and queues are often longer than the usual latency under normal load.
 ///
-/// With hedges as early as the usual time allowed, such a day had 15 hedges on 100 first
-/// attempts, and answered 66 of 100 requests in time (the journal's trial "base" of 21:29 on
-/// 2026-12-02, cmq-quotes, platform/days/long-burst.toml).
+/// When hedges were sent after the usual latency however early, such a load
+/// (platform/days/long-burst.toml) had 15 hedges per 100 first attempts, and 66 of 100 requests
+/// were answered in time.
 #[test]
-fn in_a_burst_hedges_take_no_room_from_first_attempts() {
+fn in_a_burst_hedges_do_not_displace_first_attempts() {
     let target = MS * 200;
-    let moment = |usual| {
+    let hedge = |usual| {
         Patience::new(&route(target), Some(MS * 1000), usual, None, &Policy::default()).hedge
     };
-    let outcome = play(184, 16.7, moment);
+    let outcome = simulate(184, 16.7, hedge);
     assert!(outcome.hedged * 100 <= outcome.requests * 5, "{outcome:?}");
     assert!(outcome.in_time * 100 >= outcome.requests * 95, "{outcome:?}");
 }
 
 #[test]
-fn a_hedge_waits_for_the_usual_time_within_its_bounds() {
+fn the_hedge_delay_is_the_usual_latency_within_bounds() {
     let hedge = |usual| {
         Patience::new(&route(MS * 200), Some(MS * 1000), usual, None, &Policy::default()).hedge
     };
--- a/crates/dispatch/tests/records.rs
+++ b/crates/dispatch/tests/records.rs
@@ -1,4 +1,4 @@
-//! How many records a member sends at first: patterns of how they are spread over shards.
+//! How many records a member sends initially, for different distributions over the shards.
 
 use bergamot_base::Seed;
 use bergamot_dispatch::{RECORD, greatest, may_lack, sufficient};
@@ -11,7 +11,8 @@
 const TOP: usize = 50;
 const REQUESTS: usize = 2000;
 
-/// The parts of a broad request: 62 records each, as 1,000 bytes hold.
+/// Generates the parts of a request to all shards: 62 records each, as 1,000 bytes hold. `lift`
+/// sets the high bits of the records of the first shard, so that they are the greatest.
 fn parts(rng: &mut impl RngExt, lift: u8) -> Vec<Bytes> {
     let record = |shard: usize, rng: &mut dyn FnMut() -> u8| {
         let mut record: Vec<u8> = (0..RECORD).map(|_| rng()).collect();
@@ -25,9 +26,9 @@
     (0..SHARDS).map(part).map(Bytes::from).collect()
 }
 
-/// Plays requests of which a member holds seven of twenty shards; returns the bytes of records
-/// that it sent at first and how many requests needed more.
-fn play(lift: u8) -> (usize, usize) {
+/// Simulates requests for which a member serves seven of twenty shards; returns the bytes of
+/// records that it sent initially and how many requests needed more.
+fn simulate(lift: u8) -> (usize, usize) {
     let mut rng = Seed(1).generator("records");
     let enough = sufficient(TOP, AT_MEMBER, SHARDS, &Brief::default()) * RECORD;
     let (mut bytes, mut lacking) = (0, 0);
@@ -48,25 +49,25 @@
     (bytes, lacking)
 }
 
-/// The pattern: broad requests of fifty records over twenty shards, seven of them in another
-/// region. Sent whole, the member's records are 800 bytes, of which a third is among the greatest.
+/// Requests for the top 50 records of twenty shards, seven of them in another region. All 50
+/// records of the member are 800 bytes, of which only a third is in the merged top 50.
 #[test]
-fn a_member_sends_little_more_than_what_is_among_the_greatest() {
-    let (bytes, lacking) = play(0);
+fn a_member_sends_little_more_than_its_records_in_the_merged_top_k() {
+    let (bytes, lacking) = simulate(0);
     assert!(bytes < REQUESTS * TOP * RECORD * 60 / 100, "{bytes} bytes");
     assert!(lacking * 200 < REQUESTS, "{lacking} of {REQUESTS} needed more");
 }
 
-/// Where the greatest records are in one shard, the member that holds it has to send more: that
-/// is always noticed (the merge is compared with the whole one above).
+/// If the greatest records are in one shard, the member that serves it has to send more, which is
+/// always detected (`simulate` compares the merge with the complete one).
 #[test]
-fn records_that_are_in_one_shard_are_found_to_lack() {
-    let (_, lacking) = play(0xf0);
+fn missing_records_are_detected_if_one_shard_has_the_greatest() {
+    let (_, lacking) = simulate(0xf0);
     assert!(lacking * 2 > REQUESTS, "{lacking} of {REQUESTS} needed more");
 }
 
 #[test]
-fn all_records_are_sent_by_a_member_that_holds_every_shard() {
+fn a_member_that_serves_every_shard_sends_all_records() {
     let policy = Brief::default();
     assert_eq!(sufficient(TOP, SHARDS, SHARDS, &policy), TOP);
     assert_eq!(sufficient(1, 1, 225, &policy), 1);
@@ -74,9 +75,9 @@
 }
 
 proptest! {
-    /// Whatever was left out of a part, a merge that is not found to lack it is the whole one.
+    /// Whatever was left out of a part, a merge that is considered complete equals the full merge.
     #[test]
-    fn a_merge_that_lacks_nothing_is_that_of_all_records(
+    fn a_merge_considered_complete_equals_the_full_merge(
         own in prop::collection::vec(0_u8..6, 0..12),
         theirs in prop::collection::vec(0_u8..6, 1..12),
         enough in 1_usize..12,
--- a/crates/dispatch/tests/rhythm.rs
+++ b/crates/dispatch/tests/rhythm.rs
@@ -1,4 +1,4 @@
-//! When a searcher is expected to be silent: what agrees, what doesn't, and for how long.
+//! Prediction of periodic stalls.
 
 use std::time::{Duration, Instant};
 
@@ -9,56 +9,57 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The work that a request is taken to need.
+/// The assumed work of a request.
 const WORK: Duration = Duration::from_millis(20);
 
-/// Shows a silence of 100 ms at each moment, which are milliseconds.
-fn see(moments: &[u32], start: Instant, rhythm: &Rhythm) -> Silences {
-    let mut silences = Silences::default();
-    for moment in moments {
-        let from = start + MS * *moment;
-        silences.silent(from, from + MS * 100, rhythm, &Foresight::default());
+/// Records a stall of 100 ms at each of some times in milliseconds.
+fn record_stalls(times: &[u32], start: Instant, rhythm: &Rhythm) -> Silences {
+    let mut stalls = Silences::default();
+    for time in times {
+        let from = start + MS * *time;
+        stalls.silent(from, from + MS * 100, rhythm, &Foresight::default());
     }
-    silences
+    stalls
 }
 
-/// A rhythm of 6 s, as ten other searchers have shown it.
-fn learned(start: Instant) -> Rhythm {
+/// Returns a stall period of 6 s, observed at ten other searchers.
+fn six_second_period(start: Instant) -> Rhythm {
     let rhythm = Rhythm::default();
     for phase in 0..10 {
         let first = phase * 571;
-        let _shown = see(&[first, first + 6020 - phase * 4, first + 11_990], start, &rhythm);
+        let _recorded =
+            record_stalls(&[first, first + 6020 - phase * 4, first + 11_990], start, &rhythm);
     }
     rhythm
 }
 
 #[test]
-fn silences_that_agree_make_a_rhythm_and_others_none() {
+fn agreeing_intervals_give_a_period_and_random_ones_none() {
     let start = Instant::now();
-    let period = learned(start).period().expect("they agree");
+    let period = six_second_period(start).period().expect("the intervals agree");
     assert!(period.abs_diff(MS * 6000) < MS * 100, "{period:?}");
     let mut rng = Seed(1).generator("silences");
     let random = Rhythm::default();
     for _ in 0..40 {
-        let mut moment = 0;
-        let mut moments = Vec::new();
+        let mut time = 0;
+        let mut times = Vec::new();
         for _ in 0..5 {
-            moment += (-6000.0 * rng.random_range(1e-6..1.0_f64).ln()) as u32 + 300;
-            moments.push(moment);
+            time += (-6000.0 * rng.random_range(1e-6..1.0_f64).ln()) as u32 + 300;
+            times.push(time);
         }
-        let _shown = see(&moments, start, &random);
+        let _recorded = record_stalls(&times, start, &random);
     }
     assert_eq!(random.period(), None);
 }
 
 #[test]
-fn a_searcher_is_expected_to_be_silent_again_after_a_period_and_for_some_periods() {
+fn a_stall_is_predicted_after_one_period_and_for_several_periods() {
     let (start, policy) = (Instant::now(), Foresight::default());
-    let rhythm = learned(start);
-    let silences = see(&[1000, 7000], start, &rhythm);
-    let wait = |at: u32| silences.wait(start + MS * at, WORK, &rhythm, &policy);
+    let rhythm = six_second_period(start);
+    let stalls = record_stalls(&[1000, 7000], start, &rhythm);
+    let wait = |at: u32| stalls.wait(start + MS * at, WORK, &rhythm, &policy);
     assert!(wait(13_000) > MS * 80, "{:?}", wait(13_000));
-    // What is sent shortly before it would be caught by it.
+    // A request sent shortly before the stall would be delayed by it.
     assert!(wait(12_960) > MS * 80, "{:?}", wait(12_960));
     assert_eq!(
         (wait(10_000), wait(12_500), wait(13_600)),
@@ -69,30 +70,30 @@
 }
 
 #[test]
-fn an_answer_in_the_midst_of_an_expected_silence_takes_it_back() {
+fn an_answer_during_a_predicted_stall_withdraws_the_prediction() {
     let (start, policy) = (Instant::now(), Foresight::default());
-    let rhythm = learned(start);
-    let mut silences = see(&[1000, 7000], start, &rhythm);
+    let rhythm = six_second_period(start);
+    let mut stalls = record_stalls(&[1000, 7000], start, &rhythm);
     let at = start + MS * 13_040;
-    silences.worked(at, at + WORK, &rhythm, &policy);
-    assert_eq!(silences.wait(start + MS * 13_000, WORK, &rhythm, &policy), Duration::ZERO);
+    stalls.worked(at, at + WORK, &rhythm, &policy);
+    assert_eq!(stalls.wait(start + MS * 13_000, WORK, &rhythm, &policy), Duration::ZERO);
 }
 
 #[test]
-fn nothing_is_expected_of_an_outage_nor_without_the_mechanism() {
+fn no_stall_is_predicted_from_an_outage_or_if_the_mechanism_is_off() {
     let (start, policy) = (Instant::now(), Foresight::default());
-    let rhythm = learned(start);
+    let rhythm = six_second_period(start);
     let mut outage = Silences::default();
     outage.silent(start + MS * 1000, start + MS * 3000, &rhythm, &policy);
     assert_eq!(outage.wait(start + MS * 7100, WORK, &rhythm, &policy), Duration::ZERO);
-    let silences = see(&[1000, 7000], start, &rhythm);
+    let stalls = record_stalls(&[1000, 7000], start, &rhythm);
     let off = Foresight { on: false, ..policy };
-    assert_eq!(silences.wait(start + MS * 13_000, WORK, &rhythm, &off), Duration::ZERO);
+    assert_eq!(stalls.wait(start + MS * 13_000, WORK, &rhythm, &off), Duration::ZERO);
 }
 
-/// A member beside the searcher tells what it expects; it counts until the silence is over.
+/// A stall reported by a member near the searcher raises the estimate until the stall is over.
 #[test]
-fn a_silence_that_another_member_expects_counts_too() {
+fn a_stall_predicted_by_another_member_is_included() {
     let now = Instant::now();
     let outlook = || {
         let mut outlook = Outlook::new(WORK, std::sync::Arc::default(), Rhythm::default());
@@ -100,12 +101,12 @@
         outlook.answer(now, now + WORK);
         outlook
     };
-    let (mut told, plain) = (outlook(), outlook());
-    told.tell(now + MS * 500, now + MS * 750);
+    let (mut reported, plain) = (outlook(), outlook());
+    reported.tell(now + MS * 500, now + MS * 750);
     let expected = |outlook: &Outlook, at: u32| outlook.expected(now + MS * at, 2, false);
     for at in [100, 400, 800] {
-        assert!((expected(&told, at) - expected(&plain, at)).abs() < 0.001, "{at}");
+        assert!((expected(&reported, at) - expected(&plain, at)).abs() < 0.001, "{at}");
     }
-    assert!(expected(&told, 600) > expected(&plain, 600) + 149.0);
-    assert!(expected(&told, 490) > expected(&plain, 490) + 249.0);
+    assert!(expected(&reported, 600) > expected(&plain, 600) + 149.0);
+    assert!(expected(&reported, 490) > expected(&plain, 490) + 249.0);
 }
