--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,14 +1,14 @@
-//! The policy of the decisions on one page: each mechanism, its figures, and a switch.
+//! The configuration of the request handling policy: mechanisms, their parameters, and switches.
 //!
-//! The table in [`table`] is the only place that knows a mechanism: what it does, and each
-//! figure with its unit, its value and the grounds for it. The structs, their defaults, the
-//! text form and the names that can be switched off are made from it. A decision takes the
-//! group of figures that it rests on; a group that is off leaves its decision to the plainest
-//! rule, so that what a mechanism is worth can be measured without a change of code. See
-//! `docs/design/0010-deciding.md`.
+//! The table in `table.rs` is the single definition of each mechanism: what it does, and each
+//! parameter with its unit, its default and the reason for it. The structs, their defaults, the
+//! text form and the names of the switches are generated from it. Each decision takes the
+//! parameter group that it depends on. If a mechanism is off, its decision falls back to the
+//! simplest rule, so that the effect of a mechanism can be measured without changing code. See
+//! `docs/measurements/deciding.md`.
 
-mod figure;
+mod parameter;
 mod table;
 
-pub use figure::{Figure, Mechanism};
+pub use parameter::{Mechanism, Parameter};
 pub use table::*;
--- a/crates/policy/src/figure.rs
+++ b/crates/policy/src/parameter.rs
@@ -1,32 +1,32 @@
-//! The text form of a mechanism and of its figures.
+//! The text form of a mechanism and its parameters.
 
 use std::fmt;
 use std::time::Duration;
 
-/// One figure of a mechanism.
+/// One parameter of a mechanism.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figure {
-    /// Its name within the mechanism.
+pub struct Parameter {
+    /// The name, unique within the mechanism.
     pub name: &'static str,
-    /// Its value, without the unit.
+    /// The value, without the unit.
     pub value: String,
-    /// What it is counted in.
+    /// The unit of the value.
     pub unit: &'static str,
-    /// What it rests on.
+    /// The reason for the default value.
     pub grounds: &'static str,
 }
 
-/// One mechanism of the decisions.
+/// A part of the request handling policy that can be switched off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mechanism {
-    /// The name by which it is switched off.
+    /// The name of its switch.
     pub name: &'static str,
     /// Whether it is on.
     pub on: bool,
-    /// What it does, and what holds without it.
+    /// What it does, and what happens if it is off.
     pub help: &'static str,
-    /// What it rests on.
-    pub figures: Vec<Figure>,
+    /// The parameters, in table order.
+    pub parameters: Vec<Parameter>,
 }
 
 impl fmt::Display for Mechanism {
@@ -36,7 +36,7 @@
         for line in self.help.lines() {
             writeln!(f, "    {}", line.trim())?;
         }
-        for Figure { name, value, unit, grounds } in &self.figures {
+        for Parameter { name, value, unit, grounds } in &self.parameters {
             writeln!(f, "  {name} = {value} {unit}")?;
             for line in grounds.lines() {
                 writeln!(f, "      {}", line.trim())?;
@@ -46,9 +46,9 @@
     }
 }
 
-/// A type that a figure can have.
+/// A type that a parameter can have.
 pub(crate) trait Value {
-    /// Writes the value without its unit.
+    /// Formats the value without its unit.
     fn text(&self) -> String;
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Value for Duration {
-    /// Durations are written in milliseconds, the unit of their rows.
+    /// Formats durations in milliseconds, the unit that the table uses for them.
     fn text(&self) -> String {
         (self.as_secs_f64() * 1e3).to_string()
     }
--- a/crates/policy/src/table.rs
+++ b/crates/policy/src/table.rs
@@ -1,16 +1,16 @@
-//! The table of all mechanisms.
+//! The table of all mechanisms with their parameters and defaults.
 
 use std::time::Duration;
 
 use snafu::Snafu;
 
-use crate::figure::{Figure, Mechanism, Value};
+use crate::parameter::{Mechanism, Parameter, Value};
 
-/// A mechanism that is not in the table was to be switched off.
+/// The error returned when a mechanism to be switched off doesn't exist.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("switch off {name}: no such mechanism; there are {}", NAMES.join(", ")))]
 pub struct Unknown {
-    /// The name that was given.
+    /// The unknown name.
     pub name: String,
 }
 
@@ -18,7 +18,7 @@
     ($(
         $(#[doc = $help:literal])+
         $group:ident: $Group:ident {
-            $( $(#[doc = $grounds:literal])+ $figure:ident: $type:ty = $default:expr, $unit:literal; )*
+            $( $(#[doc = $grounds:literal])+ $parameter:ident: $type:ty = $default:expr, $unit:literal; )*
         }
     )*) => {
         $(
@@ -27,30 +27,30 @@
             pub struct $Group {
                 /// Whether the mechanism is on.
                 pub on: bool,
-                $( $(#[doc = $grounds])+ #[doc = concat!("\nUnit: ", $unit, ".")] pub $figure: $type, )*
+                $( $(#[doc = $grounds])+ #[doc = concat!("\nUnit: ", $unit, ".")] pub $parameter: $type, )*
             }
 
             impl Default for $Group {
                 fn default() -> Self {
-                    Self { on: true, $($figure: $default,)* }
+                    Self { on: true, $($parameter: $default,)* }
                 }
             }
 
             impl $Group {
                 fn describe(&self) -> Mechanism {
-                    let figures = vec![$( Figure {
-                        name: stringify!($figure),
-                        value: Value::text(&self.$figure),
+                    let parameters = vec![$( Parameter {
+                        name: stringify!($parameter),
+                        value: Value::text(&self.$parameter),
                         unit: $unit,
                         grounds: concat!($($grounds, "\n"),+),
                     }, )*];
                     let help = concat!($($help, "\n"),+);
-                    Mechanism { name: stringify!($group), on: self.on, help, figures }
+                    Mechanism { name: stringify!($group), on: self.on, help, parameters }
                 }
             }
         )*
 
-        /// Every mechanism of the decisions.
+        /// The settings of all mechanisms.
         #[derive(Clone, Copy, Debug, Default, PartialEq)]
         pub struct Policy { $( $(#[doc = $help])+ pub $group: $Group, )* }
 
@@ -58,7 +58,7 @@
         pub const NAMES: &[&str] = &[$(stringify!($group)),*];
 
         impl Policy {
-            /// Returns the policy with some mechanisms switched off.
+            /// Returns the policy with the named mechanisms switched off.
             pub fn without<T: AsRef<str>>(mut self, names: &[T]) -> Result<Self, Unknown> {
                 for name in names {
                     match name.as_ref() {
@@ -69,7 +69,7 @@
                 Ok(self)
             }
 
-            /// Describes every mechanism in the order of the table.
+            /// Describes all mechanisms in table order.
             pub fn mechanisms(&self) -> Vec<Mechanism> {
                 vec![$(self.$group.describe()),*]
             }
@@ -77,237 +77,255 @@
     };
 }
 
-/// Makes a duration of milliseconds.
 const fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
 policy! {
-    /// A searcher that is silent for longer than usual is hedged: another one of its service is
-    /// asked as well, and the first answer counts. Without it only failures lead to another attempt.
+    /// Sends a second attempt to another searcher of the service if the first one takes longer than
+    /// usual; the first answer is used. If off, only a failed attempt leads to another one.
     hedge: Hedge {
-        /// Searchers pause for some hundred milliseconds, and a far one answers some 30 ms after
-        /// it is asked, so that a hedge at a third still meets a target of 80 ms. An earlier one
-        /// buys nothing on a calm day, and as queues begin to grow it does work twice just while
-        /// there is no room for it.
-        earliest: f64 = 0.33, "parts of the target latency";
-        /// Under load the usual time passes a third of the target, and every attempt would be hedged
-        /// there until the allowance is spent. After 0.6 of 100 ms, one of the strictest targets, a
-        /// hedge just comes in in time.
-        latest: f64 = 0.6, "parts of the target latency";
-        /// Answers vary by about this much around their usual time.
-        factor: f64 = 1.2, "times the usual time";
-        /// Searchers pause for some 4 in 100 of the time: beyond the 94th percentile, most of what
-        /// is still silent is paused. At 85 the allowance is spent on answers that are on their way.
-        percentile: usize = 94, "in 100 first attempts";
+        /// Searchers pause for several hundred milliseconds, and a remote one answers about 30 ms
+        /// after it is asked, so a hedge at a third of the target still meets a target of 80 ms.
+        /// Hedging earlier gains nothing under normal load, and duplicates work just when queues
+        /// start to grow.
+        earliest: f64 = 0.33, "of the target latency";
+        /// Under load the usual latency exceeds a third of the target, and without this bound every
+        /// attempt would be hedged there until the retry budget is spent. With a target of 100 ms,
+        /// one of the strictest, a hedge after 0.6 of it is just in time.
+        latest: f64 = 0.6, "of the target latency";
+        /// Answers typically vary by this factor around their usual latency.
+        factor: f64 = 1.2, "times the usual latency";
+        /// Searchers are paused for about 4% of the time: beyond the 94th percentile, most
+        /// unanswered requests are at a paused searcher. At the 85th, the retry budget is spent on
+        /// answers that are already on their way.
+        percentile: usize = 94, "percent of first attempts";
     }
 
-    /// A request whose attempt failed is sent to another searcher. Without it the first failure is
-    /// the end of the request, or of its shard.
+    /// Sends a request whose attempt failed to another searcher. If off, the first failure ends the
+    /// request or its shard.
     retry: Retry {
-        /// Each refusal takes a round trip; a third one in a row means that no searcher has room.
+        /// Each refusal costs a round trip, and a third one in a row means that no searcher has
+        /// capacity.
         most_refused: usize = 2, "attempts that did not run, beyond those that the route allows";
     }
 
-    /// The bound on additional attempts is spent with a margin. Without it all of the users' bound
-    /// is spent, and what the edges of their window and restarted members add is beyond it.
+    /// Spends only a fraction of the configured bound on additional attempts. If off, the whole
+    /// bound is spent, and exceeded at the edges of its window and by restarted members.
     margin: Margin {
-        /// The users' window slides continuously, ours by a twentieth of its length.
-        earned: f64 = 0.85, "parts of what requests earn";
-        /// A member that restarts forgets what it spent, and its successor spends its part anew.
-        slack: f64 = 0.5, "parts of the slack";
+        /// The window of the configured bound slides continuously, the one counted here advances by
+        /// a twentieth of its length.
+        earned: f64 = 0.85, "of the budget earned by requests";
+        /// A restarted member loses its count of spent attempts and spends its share again.
+        slack: f64 = 0.5, "of the slack";
     }
 
-    /// A part of the allowance is kept for attempts without which a request fails, and a refused
-    /// attempt waits until it is known whether its request does. Without it first come is first served.
+    /// Reserves a part of the retry budget for attempts without which a request fails, and defers
+    /// the retry of a refused attempt until it is known whether its request needs it. If off, the
+    /// budget is spent first come, first served.
     reserve: Reserve {
-        /// While searchers refuse half of their work, a service's allowance covers a quarter of the
-        /// attempts that would make every answer complete. Spent first come, first served, it makes
-        /// some answers complete and lets others fail below their coverage.
-        part: f64 = 0.25, "parts of the allowance";
+        /// While searchers refuse half of their work, a service's budget covers a quarter of the
+        /// attempts that would make every answer complete. Spent first come, first served, it
+        /// completes some answers and lets others fall below their required coverage.
+        part: f64 = 0.25, "of the retry budget";
     }
 
-    /// Shards whose best searcher is elsewhere are asked through a member there, which merges before
-    /// the bytes cross. Without it each shard is asked directly.
+    /// Queries shards whose best searcher is in another zone or region through a member there,
+    /// which merges the results before they are sent across. If off, each shard is queried
+    /// directly.
     delegate: Delegate {
-        /// One question to a member costs a hop; for a single shard it saves no bytes.
+        /// Delegation costs an additional hop, and for a single shard it saves no bytes.
         fewest: usize = 2, "shards";
-        /// The searchers' work and the way within the zone take this long at the least.
+        /// The lower bound of the searchers' work and the latency within the zone.
         least: Duration = ms(8), "ms";
-        /// Timers of a small machine fire late by some milliseconds.
+        /// Timers on a small machine fire several milliseconds late.
         late: Duration = ms(6), "ms";
-        /// Above this time asking the searchers oneself is faster.
+        /// Above this time, querying the searchers directly is faster.
         silent: f64 = 120.0, "ms";
-        /// What still runs after the answer waits for the sender to ask for it: some round trips.
+        /// Results of work that is still running after the answer are kept until the sender fetches
+        /// them, which takes a few round trips.
         unclaimed: Duration = ms(150), "ms";
-        /// Both members take this long, on small instances, beyond the way and the searchers.
+        /// The processing time of both members on small instances, in addition to the network
+        /// latency and the searchers' time.
         handling: Duration = ms(2), "ms";
-        /// Until a connection there was opened: 8 ms each way, and the time of both members.
+        /// The initial estimate until a connection there has been opened: 8 ms each way, plus the
+        /// processing time of both members.
         region: Duration = ms(18), "ms";
-        /// Until a connection there was opened: 1.4 ms each way, and the time of both members.
+        /// The initial estimate until a connection there has been opened: 1.4 ms each way, plus the
+        /// processing time of both members.
         zone: Duration = ms(5), "ms";
     }
 
-    /// A member that was asked for shards sends only as many records as are likely to be among the
-    /// greatest of all, and the others if they are asked for. Without it all that could be are sent. Of
-    /// 50 records for 7 of 20 shards it sends 29, a quarter of the bytes of such an answer.
+    /// A member that is queried for some of the shards sends only as many records as are likely to
+    /// be in the top k of all shards, and the others on request. If off, it sends all records that
+    /// could be. Of 50 records for 7 of 20 shards it sends 29, a quarter of the bytes of such an
+    /// answer.
     brief: Brief {
-        /// Records that are spread evenly are beyond three deviations once in several hundred requests.
-        deviations: f64 = 3.0, "standard deviations of the expected number";
-        /// Once records were lacking they may be of one shard mostly; an answer that has to wait for
-        /// more takes another round trip.
-        again: Duration = ms(10_000), "ms in which all records are sent";
-        /// What was not sent waits for as long as most answers are being gathered.
+        /// With evenly distributed records, three deviations are exceeded once in several hundred
+        /// requests.
+        deviations: f64 = 3.0, "standard deviations above the expected count";
+        /// Once records were lacking, the top records may be concentrated in one shard, and an
+        /// answer that has to fetch more takes another round trip.
+        again: Duration = ms(10_000), "ms during which all records are sent";
+        /// Records that were held back are kept for as long as it takes to gather most answers.
         kept: Duration = ms(1000), "ms";
     }
 
-    /// Connections are opened ahead of need to searchers that have none. Without it the first request
-    /// to a searcher waits for its connection.
+    /// Opens connections ahead of need to searchers that have none. If off, the first request to a
+    /// searcher waits for its connection.
     warm: Warm {
-        /// A few at a time, so that not all members come to a searcher at once.
-        at_once: usize = 6, "connections a tick of 100 ms";
-        /// A searcher at its limit resets a new connection at once; trying again and again would
-        /// only cost it time.
+        /// Only a few are opened at a time, so that not all members connect to a searcher at once.
+        at_once: usize = 6, "connections per 100 ms tick";
+        /// A searcher at its connection limit resets a new connection immediately, and repeated
+        /// attempts would only cost it time.
         again: Duration = ms(2000), "ms";
     }
 
-    /// A searcher whose entry has disappeared is asked if no other can be, until it counts as gone.
-    /// Without it a searcher is gone with its entry.
+    /// Queries a searcher whose registry entry has disappeared if no other one is available, until
+    /// it is considered gone. If off, a searcher is gone as soon as its entry is.
     doubt: Doubt {
-        /// Nothing but an outage of the store makes entries of living searchers disappear for long.
-        /// A searcher that leaves may get its last request 3 s after that at the least, and the news
-        /// of it may be 1.5 s old already.
+        /// Only an outage of the store removes entries of live searchers for long. A searcher that
+        /// is leaving still accepts requests for at least 3 s after its entry was removed, and the
+        /// removal may be seen up to 1.5 s late.
         usual: Duration = ms(1000), "ms";
-        /// Entries that expired during an outage are back within two seconds of the store's return.
-        outage: Duration = ms(2200), "ms after the store's return";
-        /// A living searcher writes its entry again with its next heartbeat, 1.2 s later: after two of
-        /// them, whatever stands in its place is there to stay.
+        /// Entries that expired during an outage are restored within two seconds after the store is
+        /// available again.
+        outage: Duration = ms(2200), "ms after the store is available again";
+        /// A live searcher rewrites its entry with its next heartbeat, 1.2 s later: an entry that
+        /// replaced it and is still there after two heartbeats is permanent.
         overwritten: Duration = ms(2600), "ms";
     }
 
-    /// A gathered request that the searchers can't answer in time is refused before anything has run.
-    /// Without it every request is taken up.
+    /// Refuses a gathered request before anything has run if the searchers can't answer it in time.
+    /// If off, every request is admitted.
     admit: Admit {
-        /// Estimates lag by the time of an answer: refused only at the target, requests are late
-        /// before the estimate shows it.
-        early: f64 = 0.8, "parts of the target latency";
-        /// At a tenth beyond the limit two thirds are taken up, at a half beyond it a fifth.
-        steepness: i32 = 4, "the power of the excess";
-        /// Some are always taken up, to notice that searchers recover.
-        least: f64 = 0.15, "parts of the requests";
+        /// Estimates lag by the duration of an answer: if requests were refused only at the target,
+        /// they would be late before the estimate shows it.
+        early: f64 = 0.8, "of the target latency";
+        /// With this exponent, two thirds are admitted at a tenth beyond the limit, and a fifth at
+        /// a half beyond it.
+        steepness: i32 = 4, "exponent of the overload ratio";
+        /// Some requests are always admitted, to detect that the searchers have recovered.
+        least: f64 = 0.15, "of the requests";
     }
 
-    /// A caller who is refused is told to come back when the obstacle is likely to have passed. Without
-    /// it every caller is told the shortest time.
+    /// Tells a refused caller to retry when the cause of the refusal has probably cleared. If off,
+    /// every caller gets the shortest delay.
     comeback: ComeBack {
-        /// Most obstacles pass within this time: a pause of a searcher, a full queue, a start.
+        /// Most causes clear within this time: a pause of a searcher, a full queue, a process
+        /// start.
         soonest: Duration = ms(150), "ms";
-        /// Callers who were refused together should not return together.
+        /// Jitter, so that callers that were refused together don't retry together.
         spread: Duration = ms(150), "ms";
-        /// An outage of the store that is met by a process without a declaration has lasted for some
-        /// time, and will for some more; callers heed a third of what they have left at the most.
+        /// A store outage that is seen by a process without a declaration has lasted for some time
+        /// and is likely to continue. Callers wait for at most a third of their remaining time.
         outage: Duration = ms(1000), "ms";
     }
 
-    /// A gathered answer goes out at the target latency, if it has the declared coverage. Without it
-    /// every answer waits for all shards until the caller's deadline.
+    /// Sends a gathered answer at the target latency if it has the required coverage. If off, every
+    /// answer waits for all shards until the caller's deadline.
     partial: Partial {
-        /// A caller who is 3 ms away, whose address answer has expired and who opens a connection
-        /// needs four round trips of 6 ms; timers fire late. Taken where nothing better is known.
+        /// A caller 3 ms away whose address lookup has expired and who opens a connection
+        /// needs four round trips of 6 ms, and timers fire late. Used if no better estimate exists.
         margin: Duration = ms(26), "ms before the target latency";
     }
 
-    /// What a caller has spent before a request arrives follows from the deadline that they give: most
-    /// give the whole of it, and others fall short of it by the round trips that they needed. Without
-    /// it every answer goes out as if its caller had needed the most of them. On strict routes it makes
-    /// answers more complete: of 100 ms, 86 in place of 74 are left for the searchers in two of three
-    /// requests.
+    /// Estimates from the deadline given by a caller how much of it was spent before the request
+    /// arrived: most requests carry the full deadline, and others fall short of it by the round
+    /// trips that they needed. If off, every answer is sent as if its caller had needed the most
+    /// round trips. On strict routes this makes answers more complete: of a target of 100 ms, two
+    /// of three requests leave the searchers 86 ms in place of 74.
     arrival: Arrival {
-        /// Two of three requests come on a kept connection; with fewer than a quarter, the largest
-        /// deadline may be that of other callers.
-        common: f64 = 0.25, "parts of the requests that give the largest deadline";
-        /// The guess until round trips were seen: callers are 1 to 3 ms away.
+        /// Two of three requests use a kept connection; if less than a quarter give the largest
+        /// deadline, it may be that of other callers.
+        common: f64 = 0.25, "of the requests that give the largest deadline";
+        /// The initial estimate until round trips have been observed: callers are 1 to 3 ms away.
         trip: Duration = ms(6), "ms";
-        /// Timers of a small machine fire late, and the answer must be merged and written.
+        /// Timers on a small machine fire late, and the answer must be merged and written.
         slack: Duration = ms(7), "ms";
     }
 
-    /// A searcher whose oldest request is unanswered for too long is expected to take as much longer.
-    /// Without it only answers change what is expected of it.
+    /// Adds the age of a searcher's oldest unanswered request to its expected latency once it
+    /// exceeds the usual latency. If off, only answers change the estimate.
     overdue: Overdue {
-        /// Answers within this much of the mean are ordinary.
-        factor: f64 = 1.5, "times the mean answer";
+        /// Answers within this factor of the mean are normal.
+        factor: f64 = 1.5, "times the mean latency";
     }
 
-    /// A searcher that falls silent in a rhythm is passed over shortly before its next silence. Without
-    /// it each silence is met by a request that has to wait. Where silences have no rhythm it does
-    /// nothing.
+    /// Detects searchers that stall periodically and avoids them shortly before the next stall. If
+    /// off, the first request in each stall has to wait. No effect on stalls that are not periodic.
     foresight: Foresight {
-        /// A request that is unanswered for so long shows a silence, unless another is answered.
-        silent: f64 = 3.0, "times the mean answer";
-        /// A searcher that works slowly lets requests wait without being silent.
-        slow: f64 = 2.5, "times the best answer, beyond which no silence is concluded";
-        /// Silences that are closer than this are one.
+        /// A request that is unanswered for this long indicates a stall, unless another one is
+        /// answered.
+        silent: f64 = 3.0, "times the mean latency";
+        /// A slow searcher delays requests without being stalled.
+        slow: f64 = 2.5, "times the best latency, above which no stall is detected";
+        /// Stalls that are closer together than this are merged into one.
         apart: Duration = ms(150), "ms";
-        /// Fewer agreeing times between silences may agree by chance.
-        fewest: usize = 8, "times between silences";
-        /// Of times that are drawn at random, one in twenty agrees as closely.
-        agree: f64 = 0.16, "parts of the times between silences";
-        /// The period is known to some hundredths of a second, and the phase drifts with each turn.
+        /// Fewer matching intervals may match by chance.
+        fewest: usize = 8, "intervals between stalls";
+        /// Of random intervals, one in twenty matches as closely.
+        agree: f64 = 0.16, "of the intervals between stalls";
+        /// The period is known to a few hundredths of a second, and the phase drifts with each
+        /// cycle.
         lapses: f64 = 4.0, "periods";
-        /// How much of a silence that was not seen itself is expected on either side of what was seen.
-        unseen: f64 = 0.5, "parts";
-        /// Members ask each other for the same shards several times in a second.
-        told: Duration = ms(1000), "ms ahead, to members that ask for the searcher's shard";
-        /// What is sent just before a silence is caught by it.
+        /// The fraction of the unobserved part of a stall that is added on either side of the
+        /// observed part.
+        unseen: f64 = 0.5, "of the unobserved part";
+        /// Members query each other for the same shards several times per second.
+        told: Duration = ms(1000), "ms ahead, to members that query the searcher's shard";
+        /// A request that is sent just before a stall is delayed by it.
         before: Duration = ms(40), "ms";
-        /// The end of a silence is known less well than its begin.
+        /// The end of a stall is known less precisely than its start.
         after: Duration = ms(40), "ms";
     }
 
-    /// Searchers that failed requests lately are asked less. Without it failures don't count.
+    /// Prefers searchers without recent failures. If off, failures don't affect the choice.
     failing: Failing {
-        /// The factor grows with the square of the share that failed: a single failure sends the next
-        /// requests elsewhere for about a second, while one that refuses half of its work is hardly
-        /// tried, since each refusal costs an attempt of a small allowance.
+        /// The penalty grows with the square of the failure rate: a single failure diverts requests
+        /// for about a second, while a searcher that refuses half of its work is hardly used, since
+        /// each refusal costs an attempt from a small retry budget.
         factor: f64 = 40.0, "times longer, if all failed";
-        /// Failures come in spells of some seconds.
-        forgive: Duration = ms(3000), "ms until a failure counts half";
+        /// Failures occur in bursts of several seconds.
+        forgive: Duration = ms(3000), "ms, the half-life of a failure";
     }
 
-    /// A searcher that has just started is asked less. Without it the published warm-up counts nothing.
+    /// Prefers searchers that have not just started. If off, the published warm-up time is ignored.
     cold: Cold {
-        /// What searchers that had just started were seen to need.
+        /// The observed slowdown of searchers that have just started.
         factor: f64 = 1.6, "times longer";
     }
 
-    /// A searcher in another region is asked first only if those nearby are clearly slower. Without
-    /// it the time that its answers take is all that counts.
+    /// Prefers searchers in the same region unless they are clearly slower. If off, only the
+    /// latency counts.
     near: Near {
-        /// Bytes between regions are paid for, and an answer that crosses comes late more easily.
+        /// Traffic between regions is billed, and an answer from another region is more likely to
+        /// be late.
         factor: f64 = 1.5, "times longer";
     }
 
-    /// Members that know the same don't all choose the same searcher. Without it the best goes first.
+    /// Adds jitter so that members with the same information don't all choose the same searcher. If
+    /// off, the best one is always chosen.
     spread: Spread {
-        /// Less than what makes one searcher clearly better than another.
-        part: f64 = 0.1, "parts of the expected time";
+        /// Less than the difference that makes one searcher clearly better than another.
+        part: f64 = 0.1, "of the expected latency";
     }
 
-    /// In a large fleet only some members take callers and hold connections. Without it all do.
+    /// Lets only some members of a large fleet accept callers and hold connections. If off, all do.
     seats: Seats {
-        /// One connection to a searcher would be taken by a single paused searcher's request.
+        /// With a single connection, one request to a paused searcher would occupy it.
         fewest_connections: usize = 2, "connections to each searcher where all members serve";
-        /// What members need that ask each searcher several times at once.
-        connections: usize = 4, "connections to each searcher where some serve";
-        /// One of them may be lost.
+        /// Required by members that send several concurrent requests to each searcher.
+        connections: usize = 4, "connections to each searcher where some members serve";
+        /// One of them may fail.
         fewest: usize = 2, "members of a region";
     }
 
-    /// Few members read the store, and the others follow them. Without it every member reads it.
+    /// Lets only a few members read the store, and the others replicate from them. If off, every
+    /// member reads it.
     readers: Readers {}
 
-    /// A process that slept takes up no request before it has heard of the store. Without it requests
-    /// are served by what was known before the pause.
+    /// After its process was suspended, a member admits no request until it has heard from the
+    /// store again. If off, requests are served with the state from before the pause.
     catch_up: CatchUp {}
 }
