--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -1,69 +1,71 @@
-//! The gate of one workspace.
+//! The concurrency limiter of one workspace.
 //!
-//! Invariant: `interactive + bulk <= bound`, and bulk work never holds more than
-//! `bound - floor`, so that `floor` slots can always be had by interactive work
-//! without waiting for bulk work to end.
+//! Invariant: requests are admitted only while `interactive + bulk < limit`, and bulk requests only
+//! while `bulk < limit - reserved`, so that interactive requests never have to wait for bulk
+//! requests to end in order to use the `reserved` slots. Lowering the limit doesn't affect requests
+//! that were already admitted.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The share of the bound that only interactive work may use, in percent.
-const FLOOR_PERCENT: usize = 25;
+/// The percentage of the limit that is reserved for interactive requests.
+const RESERVED_PERCENT: usize = 25;
 
-/// The longest wait that a refusal proposes.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// The longest retry delay of a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The weight of a new sample in the running mean of service times, as a divisor.
+/// The divisor that gives the weight of a new sample in the moving average of service times.
 const SMOOTHING: u32 = 8;
 
-/// What kind of work asks to be admitted.
+/// The admission class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// A person is waiting.
+    /// A user is waiting for the answer.
     Interactive,
     /// Large scans.
     Bulk,
 }
 
-/// A refusal with the time after which to ask again.
+/// A refused request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// When to come back.
+    /// The delay after which to retry.
     pub retry_after: Duration,
 }
 
-/// The gate of one workspace at one entry.
+/// Limits the concurrent requests of one workspace at one entry.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    bound: usize,
+    limit: usize,
     interactive: usize,
     bulk: usize,
-    mean: Duration,
+    mean_service_time: Duration,
     refused: u64,
 }
 
 impl Gate {
-    /// Makes a gate that admits `bound` requests at once.
-    pub fn new(bound: usize) -> Self {
-        Self { bound, interactive: 0, bulk: 0, mean: Duration::from_millis(20), refused: 0 }
+    /// Creates a limiter that admits `limit` concurrent requests.
+    pub fn new(limit: usize) -> Self {
+        let mean_service_time = Duration::from_millis(20);
+        Self { limit, interactive: 0, bulk: 0, mean_service_time, refused: 0 }
     }
 
-    /// Changes the bound; work already admitted stays.
-    pub fn resize(&mut self, bound: usize) {
-        self.bound = bound;
+    /// Changes the limit; requests that were already admitted are not affected.
+    pub fn resize(&mut self, limit: usize) {
+        self.limit = limit;
     }
 
-    /// Admits a request or refuses it at once.
+    /// Admits a request or refuses it immediately.
     pub fn enter(&mut self, class: Class) -> Result<(), Refusal> {
         let running = self.interactive + self.bulk;
-        let floor = (self.bound * FLOOR_PERCENT).div_ceil(100).min(self.bound - 1);
-        let free = match class {
-            Class::Interactive => running < self.bound,
-            Class::Bulk => running < self.bound && self.bulk < self.bound - floor,
+        let reserved = (self.limit * RESERVED_PERCENT).div_ceil(100).min(self.limit - 1);
+        let has_slot = match class {
+            Class::Interactive => running < self.limit,
+            Class::Bulk => running < self.limit && self.bulk < self.limit - reserved,
         };
-        if !free {
+        if !has_slot {
             self.refused += 1;
-            return Err(Refusal { retry_after: self.wait() });
+            return Err(Refusal { retry_after: self.estimate_wait() });
         }
         *self.count(class) += 1;
         Ok(())
@@ -73,13 +75,13 @@
     pub fn leave(&mut self, class: Class, took: Duration) {
         let count = self.count(class);
         *count = count.saturating_sub(1);
-        self.mean = (self.mean * (SMOOTHING - 1) + took) / SMOOTHING;
+        self.mean_service_time = (self.mean_service_time * (SMOOTHING - 1) + took) / SMOOTHING;
     }
 
-    /// Estimates when the next slot frees up: slots end one after the other.
-    fn wait(&self) -> Duration {
+    /// Estimates when the next slot becomes free, assuming that running requests end evenly spaced.
+    fn estimate_wait(&self) -> Duration {
         let running = (self.interactive + self.bulk).max(1) as u32;
-        (self.mean / running).clamp(Duration::from_millis(1), LONGEST_WAIT)
+        (self.mean_service_time / running).clamp(Duration::from_millis(1), MAX_RETRY_AFTER)
     }
 
     fn count(&mut self, class: Class) -> &mut usize {
@@ -95,7 +97,7 @@
         write!(
             f,
             "bound {} interactive {} bulk {} refused {}",
-            self.bound, self.interactive, self.bulk, self.refused
+            self.limit, self.interactive, self.bulk, self.refused
         )
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,10 @@
-//! Admission classes and refusals that say when to come back.
+//! Concurrency limits per workspace, with admission classes and retry delays.
 //!
-//! An entry runs a bounded number of requests for each workspace. Interactive
-//! work is admitted up to the whole bound; bulk work may use what interactive work
-//! leaves idle, up to the bound less a protected floor. A request that isn't
-//! admitted is refused at once, never held back, with the time after which a slot
-//! is likely to be free. See `docs/design/0006-admission.md`.
+//! An entry runs a bounded number of concurrent requests for each workspace. Interactive requests
+//! are admitted up to the limit; bulk requests may use idle slots, except for those that are
+//! reserved for interactive requests. A request that isn't admitted is refused immediately, never
+//! queued, with the delay after which a slot is likely to be free. See
+//! `docs/design/0006-admission.md`.
 
 mod gate;
 
--- a/crates/admission/tests/filetests.rs
+++ b/crates/admission/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Traces of the gate of a workspace.
+//! Traces of the concurrency limiter of a workspace.
 
 use std::error::Error;
 use std::path::Path;
@@ -23,7 +23,9 @@
         ["enter", word] => {
             return match gate.enter(class(word)) {
                 Ok(()) => "admitted".to_owned(),
-                Err(refusal) => format!("come back in {} ms", refusal.retry_after.as_millis()),
+                Err(refusal) => {
+                    format!("refused, retry after {} ms", refusal.retry_after.as_millis())
+                }
             };
         }
         ["leave", word, ms] => {
