--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -6,6 +6,6 @@
 //! queued, with the delay after which a slot is likely to be free. See
 //! `docs/design/0006-admission.md`.
 
-mod gate;
+mod limiter;
 
-pub use gate::{Class, Gate, Refusal};
+pub use limiter::{Class, ConcurrencyLimiter, Refusal};
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/limiter.rs
@@ -35,7 +35,7 @@
 
 /// Limits the concurrent requests of one workspace at one entry.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct ConcurrencyLimiter {
     limit: usize,
     interactive: usize,
     bulk: usize,
@@ -43,7 +43,7 @@
     refused: u64,
 }
 
-impl Gate {
+impl ConcurrencyLimiter {
     /// Creates a limiter that admits `limit` concurrent requests.
     pub fn new(limit: usize) -> Self {
         let mean_service_time = Duration::from_millis(20);
@@ -51,12 +51,12 @@
     }
 
     /// Changes the limit; requests that were already admitted are not affected.
-    pub fn resize(&mut self, limit: usize) {
+    pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
     /// Admits a request or refuses it immediately.
-    pub fn enter(&mut self, class: Class) -> Result<(), Refusal> {
+    pub fn try_acquire(&mut self, class: Class) -> Result<(), Refusal> {
         let running = self.interactive + self.bulk;
         let reserved = (self.limit * RESERVED_PERCENT).div_ceil(100).min(self.limit - 1);
         let has_slot = match class {
@@ -72,7 +72,7 @@
     }
 
     /// Records the end of an admitted request.
-    pub fn leave(&mut self, class: Class, took: Duration) {
+    pub fn release(&mut self, class: Class, took: Duration) {
         let count = self.count(class);
         *count = count.saturating_sub(1);
         self.mean_service_time = (self.mean_service_time * (SMOOTHING - 1) + took) / SMOOTHING;
@@ -92,7 +92,7 @@
     }
 }
 
-impl fmt::Display for Gate {
+impl fmt::Display for ConcurrencyLimiter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/admission/tests/filetests.rs
+++ b/crates/admission/tests/filetests.rs
@@ -4,24 +4,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-use bergamot_admission::{Class, Gate};
+use bergamot_admission::{Class, ConcurrencyLimiter};
 use bergamot_filetest::{check, trace};
 
 fn gate(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| {
-        let mut gate = Gate::new(1);
-        trace(input, |_now, command| step(&mut gate, command))
+        let mut limiter = ConcurrencyLimiter::new(1);
+        trace(input, |_now, command| step(&mut limiter, command))
     })
 }
 
-fn step(gate: &mut Gate, command: &[&str]) -> String {
+fn step(limiter: &mut ConcurrencyLimiter, command: &[&str]) -> String {
     let class = |word: &str| {
         if word == "bulk" { Class::Bulk } else { Class::Interactive }
     };
     match command {
-        ["bound", bound] => gate.resize(bound.parse().unwrap_or(1)),
+        ["bound", bound] => limiter.set_limit(bound.parse().unwrap_or(1)),
         ["enter", word] => {
-            return match gate.enter(class(word)) {
+            return match limiter.try_acquire(class(word)) {
                 Ok(()) => "admitted".to_owned(),
                 Err(refusal) => {
                     format!("refused, retry after {} ms", refusal.retry_after.as_millis())
@@ -29,11 +29,11 @@
             };
         }
         ["leave", word, ms] => {
-            gate.leave(class(word), Duration::from_millis(ms.parse().unwrap_or(0)));
+            limiter.release(class(word), Duration::from_millis(ms.parse().unwrap_or(0)));
         }
         _ => return "unknown command".to_owned(),
     }
-    gate.to_string()
+    limiter.to_string()
 }
 
 datatest_stable::harness! {
--- a/crates/entry/src/door.rs
+++ b/crates/entry/src/door.rs
@@ -5,13 +5,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use bergamot_admission::{Class, Gate, Refusal};
+use bergamot_admission::{Class, ConcurrencyLimiter, Refusal};
 use bergamot_base::Name;
 use bergamot_config::row;
 
 /// The gates of all workspaces at one entry.
 #[derive(Debug, Default)]
-pub(crate) struct Door(Mutex<HashMap<Name, Gate>>);
+pub(crate) struct Door(Mutex<HashMap<Name, ConcurrencyLimiter>>);
 
 /// A request that was admitted, until it is dropped.
 #[derive(Debug)]
@@ -36,9 +36,9 @@
         let mut gates = self.lock();
         let gate = gates
             .entry(Name::clone(&workspace.name))
-            .or_insert_with(|| Gate::new(workspace.in_flight));
-        gate.resize(workspace.in_flight);
-        gate.enter(class)?;
+            .or_insert_with(|| ConcurrencyLimiter::new(workspace.in_flight));
+        gate.set_limit(workspace.in_flight);
+        gate.try_acquire(class)?;
         drop(gates);
         let workspace = Name::clone(&workspace.name);
         Ok(Admitted { door: Arc::clone(self), workspace, class, since: Instant::now() })
@@ -53,7 +53,7 @@
         text
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Name, Gate>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Name, ConcurrencyLimiter>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -61,7 +61,7 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         if let Some(gate) = self.door.lock().get_mut(&self.workspace) {
-            gate.leave(self.class, self.since.elapsed());
+            gate.release(self.class, self.since.elapsed());
         }
     }
 }
