--- /dev/null
+++ b/crates/dispatch/src/latency.rs
@@ -0,0 +1,223 @@
+//! Estimates the latency of a searcher from this member's observations.
+//!
+//! The estimate is based on three signals: the mean latency of recent answers, which reflects
+//! distance and speed; the age of the oldest unanswered request, which reveals a stall long before
+//! any answer could; and the rate of recent failures. Estimates decay towards the best observed
+//! latency, so that a searcher that was slow is tried again after several seconds. Invariant: an
+//! answer after a long time without any has nearly all the weight, and one within a busy second has
+//! an eighth, so that neither a single outlier nor outdated samples dominate.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use bergamot_policy::Policy;
+
+use crate::stalls::{StallHistory, StallPeriod};
+
+/// The minimum weight of a new sample.
+const MIN_WEIGHT: f64 = 0.125;
+
+/// The time after which the weight of the previous mean has dropped to 1/e, in seconds.
+const MEAN_TIME_CONSTANT: f64 = 1.0;
+
+/// The half-life of the difference between the mean and the best latency, in seconds.
+const MEAN_HALF_LIFE: f64 = 2.0;
+
+/// The weight with which each sample raises the best latency, so that outdated minima expire.
+const BEST_DRIFT: f64 = 0.005;
+
+/// One member's observations of one searcher.
+#[derive(Clone, Debug)]
+pub struct LatencyEstimator {
+    policy: Arc<Policy>,
+    mean: f64,
+    best: f64,
+    last_sample: Option<Instant>,
+    failure_rate: f64,
+    failure_rate_updated: Option<Instant>,
+    /// When each unanswered request was sent.
+    in_flight: Vec<Instant>,
+    last_answer: Option<Instant>,
+    stall_period: StallPeriod,
+    stalls: StallHistory,
+    /// The stall that another member has predicted.
+    reported_stall: Option<(Instant, Instant)>,
+}
+
+impl LatencyEstimator {
+    /// Creates an estimator with an initial estimate of the latency; `stall_period` is shared by
+    /// all searchers of a member.
+    pub fn new(initial: Duration, policy: Arc<Policy>, stall_period: StallPeriod) -> Self {
+        let initial = millis(initial);
+        Self {
+            policy,
+            mean: initial,
+            best: initial,
+            last_sample: None,
+            failure_rate: 0.0,
+            failure_rate_updated: None,
+            in_flight: Vec::new(),
+            last_answer: None,
+            stall_period,
+            stalls: StallHistory::default(),
+            reported_stall: None,
+        }
+    }
+
+    /// Records that a request was sent.
+    pub fn record_send(&mut self, now: Instant) {
+        self.in_flight.push(now);
+    }
+
+    /// Records that a request sent at `sent` has ended without an answer.
+    pub fn record_end(&mut self, sent: Instant) {
+        if let Some(position) = self.in_flight.iter().position(|other| *other == sent) {
+            self.in_flight.swap_remove(position);
+        }
+    }
+
+    /// Records the answer to a request sent at `sent`.
+    pub fn record_answer(&mut self, sent: Instant, now: Instant) {
+        self.record_end(sent);
+        self.update_stalls_on_answer(sent, now);
+        let took = millis(now.saturating_duration_since(sent));
+        self.best = if self.last_sample.is_none() { took } else { self.best.min(took) };
+        self.best += (took - self.best) * BEST_DRIFT;
+        self.update_mean(took, now);
+        self.update_failure_rate(0.0, now);
+    }
+
+    /// Records that a request sent at `sent` was abandoned: its latency would have been at least
+    /// the time until now.
+    pub fn record_abandon(&mut self, sent: Instant, now: Instant) {
+        self.record_end(sent);
+        self.update_stalls_on_abandon(sent, now);
+        let took = millis(now.saturating_duration_since(sent));
+        if took > self.mean(now) {
+            self.update_mean(took, now);
+        }
+    }
+
+    /// Records that a request failed.
+    pub fn record_failure(&mut self, now: Instant) {
+        self.update_failure_rate(1.0, now);
+    }
+
+    /// Returns how many requests are unanswered.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Estimates the latency of another request, in milliseconds.
+    pub fn delay(&self, now: Instant, slots: usize) -> f64 {
+        let mean = self.mean(now);
+        let oldest = self.in_flight.iter().min().map_or(0.0, |sent| millis(now - *sent));
+        let policy = self.policy.overdue;
+        let overdue = if policy.on && oldest > mean * policy.factor { oldest } else { 0.0 };
+        let queue = 1.0 + self.in_flight.len() as f64 / slots.max(1) as f64;
+        mean * queue + overdue
+    }
+
+    /// Estimates how long a predicted stall delays a request that is sent now, in milliseconds.
+    fn stall_delay(&self, now: Instant) -> f64 {
+        let work = Duration::from_secs_f64(self.mean(now) / 1e3);
+        let own =
+            self.stalls.predicted_delay(now, work, &self.stall_period, &self.policy.foresight);
+        let reported = self.reported_stall.filter(|(begin, _)| *begin < now + work);
+        let reported =
+            reported.map_or(Duration::ZERO, |(_, end)| end.saturating_duration_since(now));
+        millis(own.max(reported))
+    }
+
+    /// Returns the current or next predicted stall, to report it to another member.
+    pub fn next_stall(&self, now: Instant) -> Option<(Instant, Instant)> {
+        let policy = &self.policy.foresight;
+        self.stalls.next_stall(now, now + policy.told, &self.stall_period, policy)
+    }
+
+    /// Sets the stall that another member has predicted.
+    pub fn set_reported_stall(&mut self, begin: Instant, end: Instant) {
+        self.reported_stall = Some((begin, end));
+    }
+
+    /// Updates the stall history after an answer, which may have ended a stall.
+    fn update_stalls_on_answer(&mut self, sent: Instant, now: Instant) {
+        let policy = self.policy.foresight;
+        let usual = Duration::from_secs_f64(self.mean(now) / 1e3);
+        let due = sent + usual;
+        let from = self.last_answer.replace(now).map_or(due, |last| last.max(due));
+        if self.is_slow(now) {
+            return;
+        }
+        let until = now.checked_sub(usual).unwrap_or(now);
+        if until.saturating_duration_since(from) >= usual.mul_f64(policy.silent - 1.0) {
+            self.stalls.record_stall(from, until, &self.stall_period, &policy);
+        } else if now <= due {
+            self.stalls.record_work(sent, now, &self.stall_period, &policy);
+        }
+    }
+
+    /// Returns whether answers currently take much longer than the best one, so that an unanswered
+    /// request doesn't indicate a stall.
+    fn is_slow(&self, now: Instant) -> bool {
+        self.mean(now) > self.best * self.policy.foresight.slow
+    }
+
+    /// Updates the stall history after a request was abandoned.
+    fn update_stalls_on_abandon(&mut self, sent: Instant, now: Instant) {
+        let policy = self.policy.foresight;
+        let usual = Duration::from_secs_f64(self.mean(now) / 1e3);
+        let due = sent + usual;
+        let from = self.last_answer.map_or(due, |last| last.max(due));
+        let stalled = now.saturating_duration_since(from) >= usual.mul_f64(policy.silent - 1.0);
+        if stalled && !self.is_slow(now) {
+            self.stalls.record_stall(from, now, &self.stall_period, &policy);
+        }
+    }
+
+    /// Estimates the latency for the choice among searchers, including the penalties for predicted
+    /// stalls, cold starts and recent failures.
+    pub fn expected(&self, now: Instant, slots: usize, cold: bool) -> f64 {
+        let cold = if cold && self.policy.cold.on { self.policy.cold.factor } else { 1.0 };
+        let weight = if self.policy.failing.on { self.policy.failing.factor } else { 0.0 };
+        let penalty = 1.0 + weight * self.failure_rate(now).powi(2);
+        (self.delay(now, slots) + self.stall_delay(now)) * cold * penalty
+    }
+
+    fn mean(&self, now: Instant) -> f64 {
+        let Some(last) = self.last_sample else {
+            return self.mean;
+        };
+        let decay = 0.5_f64.powf(seconds(now, last) / MEAN_HALF_LIFE);
+        self.best + (self.mean - self.best).max(0.0) * decay
+    }
+
+    fn failure_rate(&self, now: Instant) -> f64 {
+        let half_life = self.policy.failing.forgive.as_secs_f64();
+        self.failure_rate_updated.map_or(0.0, |updated| {
+            self.failure_rate * 0.5_f64.powf(seconds(now, updated) / half_life)
+        })
+    }
+
+    fn update_mean(&mut self, took: f64, now: Instant) {
+        let age = self.last_sample.map_or(f64::INFINITY, |last| seconds(now, last));
+        let weight = (1.0 - (-age / MEAN_TIME_CONSTANT).exp()).max(MIN_WEIGHT);
+        let mean = self.mean(now);
+        self.mean = mean + (took - mean) * weight;
+        self.last_sample = Some(now);
+    }
+
+    fn update_failure_rate(&mut self, failure: f64, now: Instant) {
+        let before = self.failure_rate(now);
+        self.failure_rate = before + (failure - before) * MIN_WEIGHT * 2.0;
+        self.failure_rate_updated = Some(now);
+    }
+}
+
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
+}
+
+fn seconds(now: Instant, then: Instant) -> f64 {
+    now.saturating_duration_since(then).as_secs_f64()
+}
