--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,11 +1,11 @@
-//! The registry: which searchers run, where, and in which state.
+//! The registry of published searchers with their addresses and states.
 //!
-//! Searchers publish themselves apart from the declaration, one entry a searcher, which each
-//! of its incarnations takes over from the one before. An address may pass to another
-//! searcher, so nothing here is keyed by address. See `docs/design/0009-platform.md` and
+//! Searchers publish themselves independently of the declaration. Each has one entry, which its
+//! successive incarnations write in turn. An address can be reused by another searcher, so
+//! nothing here is keyed by address. See `docs/design/0009-platform.md` and
 //! `docs/design/0011-incarnations.md`.
 
-mod gone;
+mod departed;
 mod registry;
 mod upstream;
 
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,20 +1,21 @@
-//! The published searchers and which of them may get new work.
+//! The published searchers, and which of them may receive new requests.
 //!
-//! Of each searcher the registry holds one incarnation, the one of the latest start that it
-//! knows of. An entry that disappears, or is overwritten with something that names no
-//! searcher, is held for a short time before the searcher counts as gone: entries expire while
-//! the store is away although their searchers live, and a living searcher writes its entry
-//! again. Such a searcher is doubtful meanwhile, to be asked only where no other can be.
+//! The registry holds one incarnation of each searcher, the one with the latest known start time.
+//! If an entry is removed from the store, or is overwritten with something that is not a
+//! searcher's entry, the searcher is kept for a grace period before it counts as departed: while
+//! the store is unavailable, entries of live searchers expire, and a live searcher writes its
+//! entry again. During the grace period the searcher is missing, and is used only if there is no
+//! alternative.
 //!
-//! An entry of an earlier start than the known one is left over, or the searcher's clock was
-//! set back before it started again. It counts once it has stood for so long that a living
-//! later start would have written over it.
+//! An entry with an earlier start time than the known one is either stale, or the clock of the
+//! searcher was set back before it restarted. It is adopted if it is still there after a time in
+//! which a live later incarnation would have overwritten it.
 //!
-//! A store that was restored from a copy names searchers again that were gone: their entries
-//! count once they have stood for so long that a dead searcher's would have expired.
+//! A store that was restored from a copy lists departed searchers again. Their entries are adopted
+//! if they are still there after a time in which the entry of a dead searcher would have expired.
 //!
-//! Invariants: within an incarnation, draining is final; an incarnation that is known to have
-//! ended never returns; a searcher is listed under the service of its incarnation alone.
+//! Invariants: draining is final for an incarnation; an incarnation that is known to have ended
+//! never returns; a searcher is listed only under the service of its current incarnation.
 //! See `docs/design/0011-incarnations.md`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -24,32 +25,34 @@
 use bergamot_base::Name;
 use bergamot_policy::Doubt;
 
-use crate::gone::Gone;
+use crate::departed::Departed;
 use crate::upstream::{Incarnation, State, Upstream};
 
-/// How many searchers are remembered whose last incarnation has ended, against stale reads that
-/// still list it.
-const MOST_ENDED: usize = 4096;
+/// For how many searchers the last ended incarnation is remembered, since stale reads may still
+/// list it.
+const MAX_ENDED: usize = 4096;
 
-/// Why the entry of a searcher is not there.
+/// Why the entry of a searcher is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Absence {
-    /// It was removed, or has expired.
+    /// It was removed from the store or has expired.
     Removed,
-    /// Something else stands in its place.
+    /// It was overwritten with something that is not an entry of the known incarnation.
     Overwritten,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     upstream: Arc<Upstream>,
+    /// Why and since when the entry is missing in the store, if it is.
     missing: Option<(Absence, Instant)>,
 }
 
-/// An entry of an earlier start than the known one.
+/// An entry with an earlier start time than the known incarnation.
 #[derive(Clone, Debug)]
-struct Earlier {
+struct EarlierEntry {
     upstream: Upstream,
+    /// When it was first seen.
     since: Instant,
 }
 
@@ -59,39 +62,40 @@
     policy: Doubt,
     entries: BTreeMap<Name, Entry>,
     by_service: BTreeMap<Name, BTreeSet<Name>>,
-    /// The last incarnation that has ended, of each searcher without an entry.
+    /// The start time of the last ended incarnation, of each searcher without a live one.
     ended: HashMap<Name, Option<u64>>,
     ended_order: VecDeque<Name>,
-    /// Those whose entries have gone without an end that was known.
-    gone: Gone,
-    earlier: BTreeMap<Name, Earlier>,
-    /// How often a searcher came, went or changed.
+    /// The searchers whose entries were lost without their end being observed.
+    departed: Departed,
+    earlier: BTreeMap<Name, EarlierEntry>,
+    /// How often a searcher was added, removed or changed.
     changes: u64,
-    /// How many of the known searchers say when they started.
-    born: usize,
-    regained: Option<Instant>,
+    /// How many of the known searchers publish a start time.
+    with_start_time: usize,
+    /// When the store last became available again.
+    store_back_at: Option<Instant>,
 }
 
 impl Registry {
-    /// Starts empty.
+    /// Creates an empty registry.
     pub fn new(policy: Doubt) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Takes in the entry of a searcher and tells whether it changed anything.
+    /// Processes the entry of a searcher, and returns whether anything changed.
     pub fn publish(&mut self, upstream: Upstream, now: Instant) -> bool {
         let Incarnation { id, born } = upstream.incarnation.clone();
-        if born.is_none() && self.states_births() {
-            // Searchers here say when they started: this is no searcher's entry.
+        if born.is_none() && self.expects_start_times() {
+            // Searchers publish start times here, so this entry was written by something else.
             return self.overwrite(&id, now);
         }
         let known = self.entries.get(&id).map(|entry| entry.upstream.incarnation.born);
         let ended = self.ended.get(&id).copied();
         match known.or(ended) {
-            Some(latest) if born < latest => self.note_earlier(upstream, now),
+            Some(latest) if born < latest => self.insert_earlier(upstream, now),
             Some(latest) if born == latest && known.is_none() => false,
             Some(latest) if born == latest => self.renew(upstream, now),
-            None if self.gone.holds_back(&upstream, now) => false,
+            None if self.departed.try_hold(&upstream, now) => false,
             Some(_) | None => {
                 self.insert(upstream, now);
                 true
@@ -99,22 +103,24 @@
         }
     }
 
-    /// Notes that the entry of a searcher disappeared; it may return.
+    /// Records that the entry of a searcher was removed from the store; it may return. Returns
+    /// whether anything changed.
     pub fn disappear(&mut self, id: &str, now: Instant) -> bool {
         self.earlier.remove(id);
-        self.gone.disappear(id);
-        self.lose(id, (Absence::Removed, now))
+        self.departed.drop_held(id);
+        self.mark_missing(id, (Absence::Removed, now))
     }
 
-    /// Notes that something which names no searcher stands where the entry of one may have
-    /// been; a living searcher writes it again.
+    /// Records that the entry of a searcher, if there was one, was overwritten with something that
+    /// is not a searcher's entry; a live searcher writes it again. Returns whether anything
+    /// changed.
     pub fn overwrite(&mut self, id: &str, now: Instant) -> bool {
         self.earlier.remove(id);
-        self.gone.disappear(id);
-        self.lose(id, (Absence::Overwritten, now))
+        self.departed.drop_held(id);
+        self.mark_missing(id, (Absence::Overwritten, now))
     }
 
-    /// Takes in a whole listing: what it doesn't name has disappeared.
+    /// Processes a full listing of the store: entries that are not in it were removed.
     pub fn replace(&mut self, listing: Vec<Upstream>, now: Instant) {
         let listed: BTreeSet<Name> =
             listing.iter().map(|upstream| Name::clone(&upstream.incarnation.id)).collect();
@@ -122,7 +128,7 @@
             self.publish(upstream, now);
         }
         self.earlier.retain(|id, _| listed.contains(id));
-        self.gone.retain(&listed);
+        self.departed.retain_held(&listed);
         let missing: Vec<Name> =
             self.entries.keys().filter(|id| !listed.contains(*id)).cloned().collect();
         for id in missing {
@@ -130,17 +136,18 @@
         }
     }
 
-    /// Notes that the store can be read again after it could not be for so long that entries
-    /// of living searchers have expired.
+    /// Records that the store is available again, after it was unavailable for so long that
+    /// entries of live searchers may have expired.
     pub fn regained(&mut self, now: Instant) {
-        self.regained = Some(now);
+        self.store_back_at = Some(now);
     }
 
-    /// Notes that the store was restored from a copy, in which the entry of a dead searcher
-    /// stands for `expiry`.
+    /// Records that the store was restored from a copy, in which the entry of a dead searcher
+    /// expires after `expiry`.
     ///
-    /// Searchers that have written since the copy are missing until they write again. Those whose
-    /// entries were removed before are gone at once, or the copy would bring them back.
+    /// Searchers whose latest entry is not in the copy are missing until they write again.
+    /// Searchers whose entries had been removed depart at once, since the copy would otherwise
+    /// bring them back.
     pub fn restored(&mut self, now: Instant, expiry: Duration) {
         let removed = |entry: &&Entry| matches!(entry.missing, Some((Absence::Removed, _)));
         let removed: Vec<Name> = self
@@ -152,60 +159,64 @@
         for id in removed {
             self.remove(&id, false);
         }
-        self.gone.restored(now + expiry);
+        self.departed.hold_until(now + expiry);
         self.regained(now);
     }
 
-    /// Notes that an incarnation has ended for good, and tells whether it was known.
+    /// Records that an incarnation has ended permanently, and returns whether it was known.
     pub fn end(&mut self, incarnation: &Incarnation) -> bool {
         self.contains(incarnation) && self.remove(&incarnation.id, true)
     }
 
-    /// Removes the searchers whose entries did not return in time and names them, and takes in
-    /// the earlier starts whose entries still stand.
+    /// Removes the searchers whose grace period is over, and adopts earlier incarnations whose
+    /// entries are still there. Returns the incarnations that were removed or replaced.
     ///
-    /// While the store is away nothing changes, since nothing could return.
-    pub fn expire(&mut self, now: Instant, store_is_away: bool) -> Vec<Incarnation> {
-        if store_is_away {
+    /// Nothing changes while the store is unavailable, since no entry could return.
+    pub fn expire(&mut self, now: Instant, store_is_unavailable: bool) -> Vec<Incarnation> {
+        if store_is_unavailable {
             return Vec::new();
         }
-        let proven = |earlier: &Earlier| now >= self.until(Absence::Overwritten, earlier.since);
-        let proven: Vec<Name> = self
+        let is_confirmed = |earlier: &EarlierEntry| {
+            now >= self.grace_period_end(Absence::Overwritten, earlier.since)
+        };
+        let confirmed: Vec<Name> = self
             .earlier
             .iter()
-            .filter(|(_, earlier)| proven(earlier))
+            .filter(|(_, earlier)| is_confirmed(earlier))
             .map(|(id, _)| Name::clone(id))
             .collect();
-        let mut gone = Vec::new();
-        for id in proven {
-            gone.extend(self.entries.get(&id).map(|entry| entry.upstream.incarnation.clone()));
+        let mut removed = Vec::new();
+        for id in confirmed {
+            removed.extend(self.entries.get(&id).map(|entry| entry.upstream.incarnation.clone()));
             if let Some(earlier) = self.earlier.remove(&id) {
                 self.insert(earlier.upstream, now);
             }
         }
-        for upstream in self.gone.proven(now) {
+        for upstream in self.departed.take_released(now) {
             self.insert(upstream, now);
         }
-        let late = |entry: &Entry| {
-            entry.missing.is_some_and(|(absence, since)| now >= self.until(absence, since))
+        let is_overdue = |entry: &Entry| {
+            entry
+                .missing
+                .is_some_and(|(absence, since)| now >= self.grace_period_end(absence, since))
         };
-        let late: Vec<Arc<Upstream>> = self
+        let overdue: Vec<Arc<Upstream>> = self
             .entries
             .values()
-            .filter(|entry| late(entry))
+            .filter(|entry| is_overdue(entry))
             .map(|entry| Arc::clone(&entry.upstream))
             .collect();
-        for upstream in late {
-            // It may come back as the same incarnation, if only its entry was away.
-            let for_good = upstream.state == State::Draining;
-            self.remove(&upstream.incarnation.id, for_good);
-            gone.push(upstream.incarnation.clone());
+        for upstream in overdue {
+            // The same incarnation may return if only its entry was lost.
+            let has_ended = upstream.state == State::Draining;
+            self.remove(&upstream.incarnation.id, has_ended);
+            removed.push(upstream.incarnation.clone());
         }
-        gone
+        removed
     }
 
-    /// Iterates over the searchers of a service that may get new work, with whether their
-    /// entry is missing at the moment.
+    /// Iterates over the searchers of a service that may receive new requests, each with whether
+    /// its entry is missing at the moment.
     pub fn usable(&self, service: &str) -> impl Iterator<Item = (&Arc<Upstream>, bool)> {
         self.by_service
             .get(service)
@@ -216,12 +227,12 @@
             .map(|entry| (&entry.upstream, entry.missing.is_some()))
     }
 
-    /// Tells whether new work may be sent to an incarnation.
+    /// Returns whether new requests may be sent to an incarnation.
     pub fn takes_work(&self, incarnation: &Incarnation) -> bool {
         self.known(incarnation).is_some_and(|entry| entry.upstream.state == State::Ready)
     }
 
-    /// Tells whether an incarnation is known.
+    /// Returns whether an incarnation is known.
     pub fn contains(&self, incarnation: &Incarnation) -> bool {
         self.known(incarnation).is_some()
     }
@@ -231,8 +242,8 @@
         self.entries.values().map(|entry| &entry.upstream)
     }
 
-    /// Returns how often a searcher came, went or changed so far; without a change who may get
-    /// work is the same.
+    /// Returns how often a searcher was added, removed or changed so far. While it stays the same,
+    /// so does the set of searchers that may receive requests.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -242,7 +253,7 @@
         self.entries.len()
     }
 
-    /// Tells whether no searcher is known.
+    /// Returns whether no searcher is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -252,7 +263,7 @@
         (entry.upstream.incarnation.born == incarnation.born).then_some(entry)
     }
 
-    /// Takes in what the known incarnation says of itself now.
+    /// Processes a new entry of the known incarnation.
     fn renew(&mut self, mut upstream: Upstream, now: Instant) -> bool {
         let id = Name::clone(&upstream.incarnation.id);
         let earlier = self.earlier.remove(&id).is_some();
@@ -260,7 +271,7 @@
         if known.upstream.state == State::Draining {
             upstream.state = State::Draining;
         }
-        // Read later, the same entry seems to be slow until later.
+        // `warm_at` is relative to the time of reading, so rereading an entry would extend it.
         upstream.warm_at = upstream.warm_at.min(known.upstream.warm_at);
         if known.missing.is_none() && !earlier && *known.upstream == upstream {
             return false;
@@ -269,48 +280,48 @@
         true
     }
 
-    /// Puts an incarnation in the place of whatever is known of its searcher.
+    /// Inserts an incarnation in place of the known state of its searcher.
     fn insert(&mut self, upstream: Upstream, now: Instant) {
         let id = Name::clone(&upstream.incarnation.id);
-        let stated = self.states_births();
+        let expected_start_times = self.expects_start_times();
         self.changes += 1;
         self.earlier.remove(&id);
-        self.gone.forget(&id);
+        self.departed.remove(&id);
         if let Some(before) = self.entries.remove(&id) {
-            self.unlist(&before.upstream);
+            self.remove_from_indexes(&before.upstream);
         }
-        self.born += usize::from(upstream.incarnation.born.is_some());
+        self.with_start_time += usize::from(upstream.incarnation.born.is_some());
         if self.ended.remove(&id).is_some() {
             self.ended_order.retain(|ended| *ended != id);
         }
         let service = Name::clone(&upstream.service);
         self.by_service.entry(service).or_default().insert(Name::clone(&id));
         self.entries.insert(id, Entry { upstream: Arc::new(upstream), missing: None });
-        if !stated && self.states_births() {
-            self.doubt_unborn(now);
+        if !expected_start_times && self.expects_start_times() {
+            self.mark_entries_without_start_time(now);
         }
     }
 
-    /// Tells whether searchers here say when they started: most of them do. A single entry of
-    /// another writer must not put all others in doubt.
-    fn states_births(&self) -> bool {
-        self.born * 2 > self.entries.len()
+    /// Returns whether searchers are expected to publish start times, because most known ones do. A
+    /// single entry of another writer must not invalidate all others.
+    fn expects_start_times(&self) -> bool {
+        self.with_start_time * 2 > self.entries.len()
     }
 
-    /// Notes an entry of an earlier start; the known one has lost its own.
-    fn note_earlier(&mut self, upstream: Upstream, now: Instant) -> bool {
+    /// Records an entry with an earlier start time, which overwrote that of the known incarnation.
+    fn insert_earlier(&mut self, upstream: Upstream, now: Instant) -> bool {
         let id = Name::clone(&upstream.incarnation.id);
-        let noted = self
+        let known = self
             .earlier
             .get(&id)
-            .filter(|noted| noted.upstream.incarnation == upstream.incarnation);
-        let since = noted.map_or(now, |noted| noted.since);
-        self.earlier.insert(Name::clone(&id), Earlier { upstream, since });
-        self.lose(&id, (Absence::Overwritten, now))
+            .filter(|known| known.upstream.incarnation == upstream.incarnation);
+        let since = known.map_or(now, |known| known.since);
+        self.earlier.insert(Name::clone(&id), EarlierEntry { upstream, since });
+        self.mark_missing(&id, (Absence::Overwritten, now))
     }
 
-    /// Notes that a known searcher has no entry any more, and tells whether it had one.
-    fn lose(&mut self, id: &str, missing: (Absence, Instant)) -> bool {
+    /// Marks the entry of a known searcher as missing, and returns whether it was present before.
+    fn mark_missing(&mut self, id: &str, missing: (Absence, Instant)) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
@@ -319,7 +330,7 @@
             return self.remove(id, true);
         }
         let before = entry.missing.map(|(absence, _)| absence);
-        // A removal is the more certain news.
+        // A removal is stronger evidence than an overwrite.
         if before.is_none() || (before, missing.0) == (Some(Absence::Overwritten), Absence::Removed)
         {
             entry.missing = Some(missing);
@@ -327,19 +338,20 @@
         before.is_none()
     }
 
-    fn remove(&mut self, id: &str, for_good: bool) -> bool {
+    /// Removes a known searcher, whose incarnation has ended permanently or may return.
+    fn remove(&mut self, id: &str, has_ended: bool) -> bool {
         let Some((id, entry)) = self.entries.remove_entry(id) else {
             return false;
         };
         self.changes += 1;
-        self.unlist(&entry.upstream);
-        if !for_good {
-            self.gone.note(&entry.upstream.incarnation);
+        self.remove_from_indexes(&entry.upstream);
+        if !has_ended {
+            self.departed.insert(&entry.upstream.incarnation);
             return true;
         }
         self.ended.insert(Name::clone(&id), entry.upstream.incarnation.born);
         self.ended_order.push_back(id);
-        if self.ended_order.len() > MOST_ENDED
+        if self.ended_order.len() > MAX_ENDED
             && let Some(oldest) = self.ended_order.pop_front()
         {
             self.ended.remove(&oldest);
@@ -347,9 +359,9 @@
         true
     }
 
-    /// Takes a searcher whose entry was removed out of what is kept beside the entries.
-    fn unlist(&mut self, upstream: &Upstream) {
-        self.born -= usize::from(upstream.incarnation.born.is_some());
+    /// Removes a searcher without an entry from the data derived from the entries.
+    fn remove_from_indexes(&mut self, upstream: &Upstream) {
+        self.with_start_time -= usize::from(upstream.incarnation.born.is_some());
         if let Some(ids) = self.by_service.get_mut(&upstream.service) {
             ids.remove(&upstream.incarnation.id);
             if ids.is_empty() {
@@ -358,26 +370,26 @@
         }
     }
 
-    /// Puts the searchers in doubt that did not say when they started: most here do.
-    fn doubt_unborn(&mut self, now: Instant) {
-        let unborn: Vec<Name> = self
+    /// Marks the entries without a start time as overwritten.
+    fn mark_entries_without_start_time(&mut self, now: Instant) {
+        let ids: Vec<Name> = self
             .entries
             .values()
             .filter(|entry| entry.upstream.incarnation.born.is_none())
             .map(|entry| Name::clone(&entry.upstream.incarnation.id))
             .collect();
-        for id in unborn {
+        for id in ids {
             self.overwrite(&id, now);
         }
     }
 
-    /// Returns until when an entry that is not there may return.
-    fn until(&self, absence: Absence, since: Instant) -> Instant {
-        let usual = match absence {
+    /// Returns until when a missing entry may return.
+    fn grace_period_end(&self, absence: Absence, since: Instant) -> Instant {
+        let grace_period = match absence {
             Absence::Removed => self.policy.usual,
             Absence::Overwritten => self.policy.overwritten,
         };
-        let doubted = since + usual;
-        self.regained.map_or(doubted, |back| doubted.max(back + self.policy.outage))
+        let end = since + grace_period;
+        self.store_back_at.map_or(end, |back| end.max(back + self.policy.outage))
     }
 }
--- a/crates/registry/src/upstream.rs
+++ b/crates/registry/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a searcher as it published itself.
+//! The published entry of one incarnation of a searcher.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use bergamot_base::Name;
 use serde::{Deserialize, Serialize};
 
-/// One start of a searcher.
+/// One run of a searcher, from its start to its end.
 ///
-/// A searcher may start again under the identifier that it had, and then holds nothing of
-/// before: what was seen of one incarnation never speaks for another. See
+/// A searcher may restart under the same identifier and then has none of its earlier state, so
+/// observations of one incarnation never apply to another. See
 /// `docs/design/0011-incarnations.md`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The identifier of the searcher.
     pub id: Name,
-    /// When it started by its own clock, in Unix milliseconds; none where each start has an
-    /// identifier of its own.
+    /// Its start time by its own clock, in Unix milliseconds. `None` where each incarnation has its
+    /// own identifier.
     pub born: Option<u64>,
 }
 
@@ -30,17 +30,17 @@
     }
 }
 
-/// What a searcher says about taking new work.
+/// Whether a searcher accepts new requests, as published by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
-    /// It will stop and takes no new work. Final for the incarnation.
+    /// It is about to stop and accepts no new requests. Final for the incarnation.
     Draining,
 }
 
 impl State {
-    /// Returns a name for logs.
+    /// Returns the name of the state in logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -49,21 +49,21 @@
     }
 }
 
-/// One incarnation of a searcher.
+/// The published entry of one incarnation of a searcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Which start of which searcher it is.
+    /// The searcher and its incarnation.
     pub incarnation: Incarnation,
     /// The service to which it belongs.
     pub service: Name,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// The availability zone in which it runs.
     pub zone: Name,
-    /// How many requests it works on at once.
+    /// How many requests it runs concurrently.
     pub slots: usize,
-    /// What it says about taking new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// Until when it is slow after its start.
+    /// The end of its warm-up, during which it is slower.
     pub warm_at: Instant,
 }
--- a/crates/registry/tests/properties.rs
+++ b/crates/registry/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Whatever the order of events, who may get work is what a small model says that is written
-//! from the contract: draining is final for a start, one that ended never returns, the last one
-//! counts, and an earlier one only if its entry stands.
+//! Compares the registry with a simple reference model for random sequences of events. The model
+//! follows the contract: draining is final for an incarnation, an ended incarnation never returns,
+//! the latest one counts, and an earlier one only if its entry persists.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use bergamot_registry::{Incarnation, Registry, State, Upstream};
 use proptest::prelude::*;
 
-/// How far apart events are.
+/// The time between events.
 const STEP: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Debug)]
@@ -18,23 +18,24 @@
     Disappear(u8),
     End { id: u8, born: Option<u64> },
     List(BTreeSet<(u8, u64)>),
-    Expire(bool),
-    Regain,
-    Restore,
+    Expire { store_is_unavailable: bool },
+    StoreBack,
+    StoreRestored,
 }
 
-fn event(births: impl Strategy<Value = Option<u64>> + Clone) -> impl Strategy<Value = Event> {
+fn event(start_times: impl Strategy<Value = Option<u64>> + Clone) -> impl Strategy<Value = Event> {
     let id = 0_u8..4;
     prop_oneof![
-        5 => (id.clone(), births.clone(), 0_u8..2, any::<bool>())
+        5 => (id.clone(), start_times.clone(), 0_u8..2, any::<bool>())
             .prop_map(|(id, born, service, ready)| Event::Publish { id, born, service, ready }),
         1 => id.clone().prop_map(Event::Overwrite),
         1 => id.clone().prop_map(Event::Disappear),
-        1 => (id.clone(), births).prop_map(|(id, born)| Event::End { id, born }),
+        1 => (id.clone(), start_times).prop_map(|(id, born)| Event::End { id, born }),
         1 => prop::collection::btree_set((id, 0_u64..4), 0..4).prop_map(Event::List),
-        3 => any::<bool>().prop_map(Event::Expire),
-        1 => Just(Event::Regain),
-        1 => Just(Event::Restore),
+        3 => any::<bool>()
+            .prop_map(|store_is_unavailable| Event::Expire { store_is_unavailable }),
+        1 => Just(Event::StoreBack),
+        1 => Just(Event::StoreRestored),
     ]
 }
 
@@ -54,76 +55,76 @@
     }
 }
 
-/// Why an entry is not there, since when.
+/// Whether a missing entry was removed, not overwritten, and since when it is missing.
 type Absence = (bool, Instant);
 
-/// What one start has said of itself last.
+/// The last entry that one incarnation published.
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct Published {
     born: Option<u64>,
     service: u8,
-    drains: bool,
+    draining: bool,
 }
 
-/// How long the entry of a dead searcher stands in a restored store.
+/// How long the entry of a dead searcher remains in a restored store.
 const EXPIRY: Duration = Duration::from_millis(4600);
 
-/// What is known of one searcher, with plain fields and no index.
+/// The state of one searcher, with plain fields and no indexes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Model {
-    start: Option<Said>,
-    /// Whether the entry was removed, and not overwritten, and when.
+    /// The known incarnation.
+    known: Option<Published>,
     absent: Option<Absence>,
-    /// The start that ended last, if no other has followed.
-    ended: Option<Said>,
-    /// An entry of an earlier start, and since when it stands.
-    earlier: Option<(Said, Instant)>,
-    /// The start that was last known when its entry had been away for too long.
-    gone: Option<Said>,
-    /// An entry of that start in a copy.
-    held: Option<Said>,
+    /// The incarnation that ended last, if none has followed.
+    ended: Option<Published>,
+    /// An entry with an earlier start time, and when it was first seen.
+    earlier: Option<(Published, Instant)>,
+    /// The incarnation that was known when its grace period ended.
+    departed: Option<Published>,
+    /// An entry of that incarnation or an earlier one in a restored store.
+    held: Option<Published>,
 }
 
-/// Until when an entry that is not there may return.
-fn until((removed, since): Absence, regained: Option<Instant>) -> Instant {
-    let doubt = if removed { Duration::from_secs(1) } else { Duration::from_millis(2600) };
-    let back = regained.map(|back| back + Duration::from_millis(2200));
-    back.map_or(since + doubt, |back| back.max(since + doubt))
+/// Returns until when a missing entry may return.
+fn grace_period_end((removed, since): Absence, store_back: Option<Instant>) -> Instant {
+    let grace_period = if removed { Duration::from_secs(1) } else { Duration::from_millis(2600) };
+    let after_outage = store_back.map(|back| back + Duration::from_millis(2200));
+    after_outage.map_or(since + grace_period, |end| end.max(since + grace_period))
 }
 
 impl Model {
-    fn publish(&mut self, said: Said, now: Instant, restored: Option<Instant>) {
+    fn publish(&mut self, entry: Published, now: Instant, restored: Option<Instant>) {
         let early = restored.is_some_and(|restored| now < restored + EXPIRY);
-        let gone = self.gone.is_some_and(|gone| said.born <= gone.born);
-        let unchanged = self.held.is_none_or(|held| held.drains == said.drains);
-        if self.start.is_none() && self.ended.is_none() && early && gone && unchanged {
-            self.held = Some(said);
+        let departed = self.departed.is_some_and(|departed| entry.born <= departed.born);
+        let unchanged = self.held.is_none_or(|held| held.draining == entry.draining);
+        if self.known.is_none() && self.ended.is_none() && early && departed && unchanged {
+            self.held = Some(entry);
             return;
         }
-        let latest = self.start.or(self.ended).map(|latest| latest.born);
+        let latest = self.known.or(self.ended).map(|latest| latest.born);
         match latest {
-            Some(latest) if said.born < latest => {
-                let known = self.earlier.filter(|(earlier, _)| earlier.born == said.born);
-                self.earlier = Some((said, known.map_or(now, |(_, since)| since)));
-                self.lose(false, now);
+            Some(latest) if entry.born < latest => {
+                let seen = self.earlier.filter(|(earlier, _)| earlier.born == entry.born);
+                self.earlier = Some((entry, seen.map_or(now, |(_, since)| since)));
+                self.mark_missing(false, now);
             }
-            Some(latest) if said.born == latest => {
-                if let Some(start) = self.start {
-                    let drains = start.drains || said.drains;
-                    self.follow(Said { drains, ..said });
+            Some(latest) if entry.born == latest => {
+                if let Some(known) = self.known {
+                    let draining = known.draining || entry.draining;
+                    self.set_known(Published { draining, ..entry });
                 }
             }
-            _ => self.follow(said),
+            _ => self.set_known(entry),
         }
     }
 
-    fn follow(&mut self, said: Said) {
-        *self = Self { start: Some(said), ..Self::default() };
+    fn set_known(&mut self, entry: Published) {
+        *self = Self { known: Some(entry), ..Self::default() };
     }
 
-    fn lose(&mut self, removed: bool, now: Instant) {
-        match (self.start, self.absent) {
-            (Some(start), _) if removed && start.drains => self.end(),
+    fn mark_missing(&mut self, removed: bool, now: Instant) {
+        match (self.known, self.absent) {
+            (Some(known), _) if removed && known.draining => self.end(),
             (Some(_), None) => self.absent = Some((removed, now)),
             (Some(_), Some((false, _))) if removed => self.absent = Some((true, now)),
             _ => {}
@@ -131,44 +132,44 @@
     }
 
     fn end(&mut self) {
-        self.ended = self.start;
-        (self.start, self.absent) = (None, None);
+        self.ended = self.known;
+        (self.known, self.absent) = (None, None);
     }
 
-    fn adopt(&mut self, now: Instant, regained: Option<Instant>) {
-        if let Some((said, since)) = self.earlier
-            && now >= until((false, since), regained)
+    fn adopt_earlier(&mut self, now: Instant, store_back: Option<Instant>) {
+        if let Some((entry, since)) = self.earlier
+            && now >= grace_period_end((false, since), store_back)
         {
-            self.follow(said);
+            self.set_known(entry);
         }
     }
 
-    fn expire(&mut self, now: Instant, regained: Option<Instant>) {
-        if self.absent.is_some_and(|absence| now >= until(absence, regained)) {
-            if self.start.is_some_and(|start| start.drains) {
+    fn expire(&mut self, now: Instant, store_back: Option<Instant>) {
+        if self.absent.is_some_and(|absence| now >= grace_period_end(absence, store_back)) {
+            if self.known.is_some_and(|known| known.draining) {
                 self.end();
             } else {
-                self.leave();
+                self.depart();
             }
         }
     }
 
-    fn leave(&mut self) {
-        self.gone = self.start;
-        (self.start, self.absent) = (None, None);
+    fn depart(&mut self) {
+        self.departed = self.known;
+        (self.known, self.absent) = (None, None);
     }
 
     fn restore(&mut self) {
         if matches!(self.absent, Some((true, _))) {
-            self.leave();
+            self.depart();
         }
     }
 
-    fn prove(&mut self, now: Instant, restored: Option<Instant>) {
-        if let Some(said) = self.held
+    fn adopt_held(&mut self, now: Instant, restored: Option<Instant>) {
+        if let Some(entry) = self.held
             && restored.is_none_or(|restored| now >= restored + EXPIRY)
         {
-            self.follow(said);
+            self.set_known(entry);
         }
     }
 }
@@ -177,69 +178,75 @@
 #[derive(Debug, Default)]
 struct World {
     models: [Model; 4],
-    regained: Option<Instant>,
+    store_back: Option<Instant>,
     restored: Option<Instant>,
 }
 
 impl World {
-    fn publish(&mut self, id: u8, said: Said, now: Instant) {
-        let births = self.births();
-        if said.born.is_none() && births {
+    fn publish(&mut self, id: u8, entry: Published, now: Instant) {
+        let expected = self.expects_start_times();
+        if entry.born.is_none() && expected {
             return self.overwrite(id, now);
         }
-        self.models[usize::from(id)].publish(said, now, self.restored);
-        self.doubt_unborn(births, now);
+        self.models[usize::from(id)].publish(entry, now, self.restored);
+        self.mark_entries_without_start_time(expected, now);
     }
 
-    /// Tells whether most searchers say when they started.
-    fn births(&self) -> bool {
-        let starts = || self.models.iter().filter_map(|model| model.start);
-        starts().filter(|start| start.born.is_some()).count() * 2 > starts().count()
+    /// Returns whether most searchers publish a start time.
+    fn expects_start_times(&self) -> bool {
+        let known = || self.models.iter().filter_map(|model| model.known);
+        known().filter(|known| known.born.is_some()).count() * 2 > known().count()
     }
 
-    /// Doubts those that don't say it, if it has just turned out that most do.
-    fn doubt_unborn(&mut self, before: bool, now: Instant) {
-        if before || !self.births() {
+    /// Marks entries without a start time as overwritten, if start times have just become expected.
+    fn mark_entries_without_start_time(&mut self, before: bool, now: Instant) {
+        if before || !self.expects_start_times() {
             return;
         }
-        let unborn = |model: &&mut Model| model.start.is_some_and(|start| start.born.is_none());
-        self.models.iter_mut().filter(unborn).for_each(|model| model.lose(false, now));
+        let lacks_start_time =
+            |model: &&mut Model| model.known.is_some_and(|known| known.born.is_none());
+        self.models
+            .iter_mut()
+            .filter(lacks_start_time)
+            .for_each(|model| model.mark_missing(false, now));
     }
 
     fn expire(&mut self, now: Instant) {
         for id in 0..4 {
-            let births = self.births();
-            self.models[id].adopt(now, self.regained);
-            self.doubt_unborn(births, now);
+            let expected = self.expects_start_times();
+            self.models[id].adopt_earlier(now, self.store_back);
+            self.mark_entries_without_start_time(expected, now);
         }
         for id in 0..4 {
-            let births = self.births();
-            self.models[id].prove(now, self.restored);
-            self.doubt_unborn(births, now);
+            let expected = self.expects_start_times();
+            self.models[id].adopt_held(now, self.restored);
+            self.mark_entries_without_start_time(expected, now);
         }
-        let regained = self.regained;
-        self.models.iter_mut().for_each(|model| model.expire(now, regained));
+        let store_back = self.store_back;
+        self.models.iter_mut().for_each(|model| model.expire(now, store_back));
     }
 
     fn overwrite(&mut self, id: u8, now: Instant) {
         self.models[usize::from(id)].earlier = None;
         self.models[usize::from(id)].held = None;
-        self.models[usize::from(id)].lose(false, now);
+        self.models[usize::from(id)].mark_missing(false, now);
     }
 
     fn disappear(&mut self, id: u8, now: Instant) {
         self.models[usize::from(id)].earlier = None;
         self.models[usize::from(id)].held = None;
-        self.models[usize::from(id)].lose(true, now);
+        self.models[usize::from(id)].mark_missing(true, now);
     }
 
-    /// Lists who may get work of a service, and whether its entry is missing.
+    /// Lists the searchers of a service that may receive requests, and whether their entry is
+    /// missing.
     fn usable(&self, service: u8) -> Vec<(Incarnation, bool)> {
-        let starts = (0_u8..).zip(&self.models).filter_map(|(id, model)| {
-            let start = model.start.filter(|start| start.service == service && !start.drains)?;
-            Some((incarnation(id, start.born), model.absent.is_some()))
+        let usable = (0_u8..).zip(&self.models).filter_map(|(id, model)| {
+            let usable = |known: &Published| known.service == service && !known.draining;
+            let known = model.known.filter(usable)?;
+            Some((incarnation(id, known.born), model.absent.is_some()))
         });
-        starts.collect()
+        usable.collect()
     }
 }
 
@@ -250,7 +257,7 @@
         now += STEP;
         match event {
             Event::Publish { id, born, service, ready } => {
-                world.publish(id, Said { born, service, drains: !ready }, now);
+                world.publish(id, Published { born, service, draining: !ready }, now);
                 registry.publish(upstream(id, born, service, ready), now);
             }
             Event::Overwrite(id) => {
@@ -263,7 +270,7 @@
             }
             Event::End { id, born } => {
                 let model = &mut world.models[usize::from(id)];
-                let known = model.start.is_some_and(|start| start.born == born);
+                let known = model.known.is_some_and(|known| known.born == born);
                 if known {
                     model.end();
                 }
@@ -272,7 +279,11 @@
             Event::List(ids) => {
                 let listing: BTreeMap<u8, u64> = ids.into_iter().collect();
                 for (id, born) in &listing {
-                    world.publish(*id, Said { born: Some(*born), service: 0, drains: false }, now);
+                    world.publish(
+                        *id,
+                        Published { born: Some(*born), service: 0, draining: false },
+                        now,
+                    );
                 }
                 for id in (0..4).filter(|id| !listing.contains_key(id)) {
                     world.disappear(id, now);
@@ -281,19 +292,19 @@
                 let listing = listing.map(|(id, born)| upstream(id, Some(born), 0, true));
                 registry.replace(listing.collect(), now);
             }
-            Event::Expire(away) => {
-                registry.expire(now, away);
-                if !away {
+            Event::Expire { store_is_unavailable } => {
+                registry.expire(now, store_is_unavailable);
+                if !store_is_unavailable {
                     world.expire(now);
                 }
             }
-            Event::Restore => {
-                (world.regained, world.restored) = (Some(now), Some(now));
+            Event::StoreRestored => {
+                (world.store_back, world.restored) = (Some(now), Some(now));
                 world.models.iter_mut().for_each(Model::restore);
                 registry.restored(now, EXPIRY);
             }
-            Event::Regain => {
-                world.regained = Some(now);
+            Event::StoreBack => {
+                world.store_back = Some(now);
                 registry.regained(now);
             }
         }
@@ -313,14 +324,14 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn starts_under_one_identifier(
+    fn incarnations_under_one_identifier(
         events in prop::collection::vec(event((0_u64..4).prop_map(Some)), 0..80)
     ) {
         run(events)?;
     }
 
     #[test]
-    fn entries_with_and_without_a_start(
+    fn entries_with_and_without_a_start_time(
         events in prop::collection::vec(event(prop::option::of(0_u64..3)), 0..80)
     ) {
         run(events)?;
