--- a/crates/peers/src/directory.rs
+++ b/crates/peers/src/directory.rs
@@ -1,24 +1,24 @@
-//! Which instances a caller is told to use.
+//! Selection of the instances whose addresses a caller gets.
 //!
-//! A gathered answer needs every shard, so an instance in a region without searchers
-//! fetches each part over the slow links between regions, one by one. Its callers cross
-//! that distance once if they go to an instance beside the searchers themselves. So a
-//! caller is told the ready instances of its own region if that region holds searchers of
-//! enough services, and else those of the regions that do. Invariant: a leaving or
-//! unreachable instance is never named, and some instance is named if any is ready.
+//! A gathered answer needs every shard, so an instance in a region without searchers fetches each
+//! part separately over the slow links between regions. A caller that uses an instance close to
+//! the searchers crosses these links only once. A caller therefore gets the ready instances of its
+//! own region if that has searchers of enough services, and otherwise those of the regions that
+//! do. Invariant: leaving and unreachable instances are never selected, and at least one instance
+//! is selected if any is ready.
 
 use std::collections::BTreeMap;
 
 use bergamot_base::Name;
 
-/// The most instances that are named to one caller.
-const MOST: usize = 64;
+/// The most instances that one caller gets.
+const MAX_INSTANCES: usize = 64;
 
-/// The part of the best region's services that a region must hold searchers of, to be as
-/// good as the best one for its own callers.
-const ENOUGH: f64 = 0.6;
+/// A region serves its own callers if it has searchers of at least this fraction of the number of
+/// services that the best region covers.
+const MIN_RELATIVE_COVERAGE: f64 = 0.6;
 
-/// Where an instance runs.
+/// The location of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place<T> {
     /// The instance.
@@ -29,7 +29,7 @@
     pub region: Name,
 }
 
-/// Where a caller is.
+/// The location of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller<'a> {
     /// Its availability zone.
@@ -38,29 +38,29 @@
     pub region: &'a str,
 }
 
-/// Chooses the instances for a caller from those that are ready.
+/// Selects instances for a caller from those that are ready, the closest first.
 ///
-/// `covered` says for how many services each region holds a searcher.
+/// `covered` is the number of services of which each region has a searcher.
 pub fn choose<T: Clone>(
     caller: Caller<'_>,
     ready: &[Place<T>],
     covered: &BTreeMap<Name, usize>,
 ) -> Vec<T> {
-    let best = ready.iter().map(|place| covers(covered, &place.region)).max().unwrap_or(0);
-    let enough = (best as f64 * ENOUGH).ceil() as usize;
-    let beside = |place: &&Place<T>| covers(covered, &place.region) >= enough;
-    let near = |place: &&Place<T>| &*place.region == caller.region;
-    let mut chosen: Vec<&Place<T>> = ready.iter().filter(beside).filter(near).collect();
-    if chosen.is_empty() {
-        chosen = ready.iter().filter(beside).collect();
+    let best = ready.iter().map(|place| coverage(covered, &place.region)).max().unwrap_or(0);
+    let required = (best as f64 * MIN_RELATIVE_COVERAGE).ceil() as usize;
+    let is_covered = |place: &&Place<T>| coverage(covered, &place.region) >= required;
+    let is_local = |place: &&Place<T>| &*place.region == caller.region;
+    let mut selected: Vec<&Place<T>> = ready.iter().filter(is_covered).filter(is_local).collect();
+    if selected.is_empty() {
+        selected = ready.iter().filter(is_covered).collect();
     }
-    if chosen.is_empty() {
-        chosen = ready.iter().collect();
+    if selected.is_empty() {
+        selected = ready.iter().collect();
     }
-    chosen.sort_by_key(|place| (&*place.zone != caller.zone, &*place.region != caller.region));
-    chosen.into_iter().take(MOST).map(|place| place.instance.clone()).collect()
+    selected.sort_by_key(|place| (&*place.zone != caller.zone, &*place.region != caller.region));
+    selected.into_iter().take(MAX_INSTANCES).map(|place| place.instance.clone()).collect()
 }
 
-fn covers(covered: &BTreeMap<Name, usize>, region: &str) -> usize {
+fn coverage(covered: &BTreeMap<Name, usize>, region: &str) -> usize {
     covered.get(region).copied().unwrap_or(0)
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,7 +1,7 @@
-//! The sockets of the membership.
+//! Runs the membership protocol on a UDP socket.
 //!
-//! Invariant: one datagram loop and one timer drive the membership under one lock, which is
-//! never held while waiting.
+//! Invariant: a single task receives datagrams and handles timers. The membership state is behind
+//! one lock, which is never held across an await point.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -24,41 +24,43 @@
 
 use crate::settings::Settings;
 
-/// How many times a farewell is sent, since a datagram may be lost.
-const FAREWELLS: usize = 3;
+/// How often the departure of this member is announced, since datagrams may be lost.
+const LEAVE_MESSAGES: usize = 3;
 
-/// How long a member's word that it knows the newest counts: some probes.
-const FRESH: Duration = Duration::from_secs(1);
+/// How long the statement of a member about its revision remains valid: a few probe periods.
+const STATEMENT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// How many members are named that know the newest.
-const MOST_FRESH: usize = 3;
+/// The most members that [`Peers::fresh`] returns.
+const MAX_FRESH: usize = 3;
 
+/// The state behind the lock.
 struct Control {
     membership: Membership,
+    /// The revision in force on this member.
     revision: Revision,
-    /// Whether this member knows the newest of what is published.
+    /// Whether this member has the latest published revision.
     fresh: bool,
-    /// When each member last said that it does.
-    heard_fresh: BTreeMap<Ipv4Addr, Instant>,
-    /// The highest revision in force that any member has told of, and who did so when.
-    heard_revision: Option<(Revision, Ipv4Addr, Instant)>,
-    /// The changes of members that are still to be logged.
+    /// When each member last stated that it has the latest revision.
+    fresh_members: BTreeMap<Ipv4Addr, Instant>,
+    /// The highest revision that a member stated to be in force there, which member, and when.
+    highest_revision: Option<(Revision, Ipv4Addr, Instant)>,
+    /// State changes of members that are yet to be logged.
     changes: Changes,
-    /// What members tell each other of requests under which searchers end.
+    /// The exchange of reports about requests that crash searchers.
     suspicions: Suspicions,
 }
 
 impl Control {
-    /// Notes what a member says of its news.
-    fn hear(&mut self, ip: Ipv4Addr, digest: &Digest) {
+    /// Records the revision that a member states in its digest.
+    fn record_digest(&mut self, ip: Ipv4Addr, digest: &Digest) {
         let now = Instant::now();
         if digest.fresh {
-            self.heard_fresh.insert(ip, now);
+            self.fresh_members.insert(ip, now);
         }
-        let lately = |at: Instant| now.saturating_duration_since(at) < FRESH;
-        let known = self.heard_revision.filter(|(_, _, at)| lately(*at));
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < STATEMENT_LIFETIME;
+        let known = self.highest_revision.filter(|(_, _, at)| is_recent(*at));
         if known.is_none_or(|(revision, ..)| revision <= digest.revision) {
-            self.heard_revision = Some((digest.revision, ip, now));
+            self.highest_revision = Some((digest.revision, ip, now));
         }
     }
 
@@ -68,15 +70,15 @@
     }
 }
 
-/// This member and what it knows of the others.
+/// This member and its view of the others.
 pub struct Peers {
     settings: Settings,
     seeds: Mutex<Vec<Ipv4Addr>>,
     control: Mutex<Control>,
-    /// Wakes the loop when something is due sooner than it was.
-    sooner: Notify,
+    /// Wakes the loop when the next timer is due earlier than before.
+    rescheduled: Notify,
     socket: UdpSocket,
-    /// The requests under which searchers ended, of which all members are told.
+    /// The records of requests that crash searchers, which all members share.
     quarantine: Arc<Quarantine>,
     stop: CancellationToken,
 }
@@ -113,80 +115,82 @@
             membership,
             revision: 0,
             fresh: false,
-            heard_fresh: BTreeMap::new(),
-            heard_revision: None,
+            fresh_members: BTreeMap::new(),
+            highest_revision: None,
             changes: Changes::default(),
             suspicions: Suspicions::new(Arc::clone(&quarantine)),
         });
         let seeds = Mutex::new(settings.seeds.clone());
-        let sooner = Notify::new();
-        let peers = Arc::new(Self { settings, seeds, control, sooner, socket, quarantine, stop });
+        let rescheduled = Notify::new();
+        let peers =
+            Arc::new(Self { settings, seeds, control, rescheduled, socket, quarantine, stop });
         tasks.spawn("membership", Arc::clone(&peers).run());
         Ok(peers)
     }
 
-    /// Reads the view under its lock.
+    /// Calls a function with the view, under the lock.
     pub fn with_view<T>(&self, read: impl FnOnce(&View) -> T) -> T {
         read(self.lock().membership.view())
     }
 
-    /// Takes other seeds, and asks those of them that aren't known for other members.
+    /// Replaces the seeds, and asks the new ones that are not known members for others.
     pub fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
         let mut known = self.seeds.lock().unwrap_or_else(PoisonError::into_inner);
         if *known != seeds {
             log::info!("peers: event=seeds_changed seeds={seeds:?}");
             self.lock().membership.set_seeds(Instant::now(), endpoints(&seeds));
             *known = seeds;
-            self.sooner.notify_one();
+            self.rescheduled.notify_one();
         }
     }
 
-    /// Returns the seeds that the settings name.
+    /// Returns the current seeds.
     pub fn seeds(&self) -> Vec<Ipv4Addr> {
         self.seeds.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Tells whether the view was whole once in this run, as far as others could tell.
+    /// Returns whether the view was complete at some time since the start, as far as other members
+    /// can tell.
     pub fn is_settled(&self) -> bool {
         self.lock().membership.is_settled(Instant::now())
     }
 
-    /// Returns how many members there are, as far as it is known or others tell.
+    /// Returns the number of members, as far as this or other members know.
     pub fn size(&self) -> usize {
         self.lock().membership.size(Instant::now())
     }
 
-    /// Tells the others from now on which version is in force here, and whether nothing newer
-    /// can have been published.
+    /// Sets the revision in force here and whether it is the latest published one, as stated to the
+    /// other members from now on.
     pub fn set_news(&self, revision: Revision, fresh: bool) {
         let mut control = self.lock();
         control.revision = revision;
         control.fresh = fresh;
     }
 
-    /// Lists members that said lately that they know the newest of what is published, the last
+    /// Returns members that recently stated to have the latest published revision, the most recent
     /// first.
     pub fn fresh(&self) -> Vec<Ipv4Addr> {
         let now = Instant::now();
         let mut control = self.lock();
-        let lately = |at: &Instant| now.saturating_duration_since(*at) < FRESH;
-        control.heard_fresh.retain(|_, at| lately(at));
-        let mut fresh: Vec<_> = control.heard_fresh.iter().map(|(ip, at)| (*at, *ip)).collect();
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < STATEMENT_LIFETIME;
+        control.fresh_members.retain(|_, at| is_recent(at));
+        let mut fresh: Vec<_> = control.fresh_members.iter().map(|(ip, at)| (*at, *ip)).collect();
         drop(control);
         fresh.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
-        fresh.into_iter().take(MOST_FRESH).map(|(_, ip)| ip).collect()
+        fresh.into_iter().take(MAX_FRESH).map(|(_, ip)| ip).collect()
     }
 
-    /// Names the member that has said lately that a revision is in force with it which is higher
-    /// than this one and all others that are heard of.
+    /// Returns the member with the highest revision among those that stated theirs recently, if it
+    /// is higher than the given one.
     pub fn ahead(&self, revision: Revision) -> Option<Ipv4Addr> {
-        let (heard, ip, at) = self.lock().heard_revision?;
-        (heard > revision && at.elapsed() < FRESH).then_some(ip)
+        let (highest, ip, at) = self.lock().highest_revision?;
+        (highest > revision && at.elapsed() < STATEMENT_LIFETIME).then_some(ip)
     }
 
-    /// Tells the others that this member stops, so that no caller is sent here any more.
+    /// Announces that this member stops, so that no more callers are directed here.
     pub fn farewell(&self) {
-        for _ in 0..FAREWELLS {
+        for _ in 0..LEAVE_MESSAGES {
             let mut control = self.lock();
             let digest = control.digest();
             let out = control.membership.farewell(Instant::now(), State::Leaving, digest);
@@ -201,8 +205,8 @@
             let due = self.lock().membership.due();
             tokio::select! {
                 () = self.stop.cancelled() => return,
-                () = self.sooner.notified() => {}
-                () = self.quarantine.changed() => self.spread(),
+                () = self.rescheduled.notified() => {}
+                () = self.quarantine.changed() => self.send_suspicions(),
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.receive(&buffer[..length], from),
                     Err(error) => log::warn!("peers: event=receive_failed cause=\"{error}\""),
@@ -220,20 +224,20 @@
                 return;
             }
         };
-        self.lock().hear(datagram.from.endpoint.ip, &datagram.digest);
+        self.lock().record_digest(datagram.from.endpoint.ip, &datagram.digest);
         self.drive(|membership, digest| membership.receive(Instant::now(), &datagram, digest));
-        self.inform(&datagram);
+        self.send_missing_suspicions(&datagram);
     }
 
-    /// Tells the other members what this one has found out of requests.
-    fn spread(&self) {
+    /// Queues the new reports about suspect requests for the other members.
+    fn send_suspicions(&self) {
         let mut control = self.lock();
         let Control { membership, suspicions, .. } = &mut *control;
         suspicions.spread(Instant::now(), membership);
     }
 
-    /// Tells a member what it may lack of requests.
-    fn inform(&self, datagram: &Datagram) {
+    /// Sends the sender of a datagram the reports about suspect requests that it may lack.
+    fn send_missing_suspicions(&self, datagram: &Datagram) {
         let mut control = self.lock();
         let digest = control.digest();
         let Control { membership, suspicions, .. } = &mut *control;
@@ -246,14 +250,14 @@
         self.drive(|membership, digest| membership.tick(Instant::now(), digest));
     }
 
-    /// Lets something happen to the membership, and sends and logs what follows from it.
-    fn drive(&self, happen: impl FnOnce(&mut Membership, Digest) -> Vec<Outgoing>) {
+    /// Applies an event to the membership, sends the resulting datagrams and logs the changes.
+    fn drive(&self, event: impl FnOnce(&mut Membership, Digest) -> Vec<Outgoing>) {
         let now = Instant::now();
         let mut control = self.lock();
         let digest = control.digest();
-        let out = happen(&mut control.membership, digest);
+        let out = event(&mut control.membership, digest);
         let Control { membership, changes, suspicions, .. } = &mut *control;
-        let heard = suspicions.hear(now, membership);
+        let updated = suspicions.hear(now, membership);
         suspicions.settle(now, membership);
         for (member, state) in membership.take_changed() {
             changes.note(now, state.label(), member.ip);
@@ -262,7 +266,7 @@
         let alive = membership.view().count_working();
         drop(control);
         self.transmit(out);
-        for fingerprint in heard {
+        for fingerprint in updated {
             log::info!("peers: event=suspicion_heard fingerprint={fingerprint}");
         }
         for line in lines {
@@ -285,7 +289,7 @@
     }
 }
 
-/// Every member of the users' platform takes callers.
+/// Returns the endpoint of a member. All members of the users' platform accept callers.
 fn endpoint(ip: Ipv4Addr) -> Endpoint {
     Endpoint { ip, role: Role::Entry }
 }
@@ -294,10 +298,10 @@
     ips.iter().copied().map(endpoint).collect()
 }
 
-/// Numbers this run after all earlier ones at the same address.
+/// Returns an incarnation number that is higher than those of earlier runs at the same address.
 ///
-/// A clock that was set back makes the number lower than a predecessor's; the membership then
-/// raises it as soon as a peer reports the predecessor.
+/// If the clock was set back, the number may be lower than that of an earlier run. The membership
+/// raises it as soon as a peer reports the earlier one.
 fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let random: u16 = rand::rng().random();
--- a/crates/peers/src/settings.rs
+++ b/crates/peers/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of membership.
+//! Settings of the membership.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use bergamot_base::Name;
 use bergamot_members::Timing;
 
-/// The settings of membership.
+/// Settings of the membership.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The IPv4 number at which other members reach this one.
+    /// The IPv4 address at which other members reach this one.
     pub address: Ipv4Addr,
     /// The availability zone of this instance.
     pub zone: Name,
-    /// How much processor time this instance has, in thousandths of a core.
+    /// The processor time available to this instance, in thousandths of a core.
     pub weight: u32,
-    /// The port of datagrams, the same at every member.
+    /// The UDP port, the same on all members.
     pub port: u16,
-    /// Members that may be asked for others at the start; some may be down.
+    /// Members to ask for others at the start. Some of them may be down.
     pub seeds: Vec<Ipv4Addr>,
-    /// The periods of the failure detector.
+    /// Periods and time-outs of the failure detector.
     pub timing: Timing,
 }
 
@@ -32,13 +32,13 @@
             port: 7402,
             seeds: Vec::new(),
             timing: Timing {
-                // A member is probed by someone about once in this time, so that callers
-                // are sent to a lost one for less than a second.
+                // Each member is probed by some other about once per period, so that callers are
+                // directed to a failed one for less than a second.
                 probe: Duration::from_millis(300),
-                // Five round trips between regions (16 ms), and late timers of a slow core.
+                // Five round trips between regions (16 ms each) plus late timers on a slow core.
                 answer: Duration::from_millis(120),
-                // Long enough for a refutation by a busy member, short against the 5 s for
-                // which callers keep an answer.
+                // Long enough for a busy member to refute, and short compared with the 5 s for
+                // which callers cache addresses.
                 suspicion: Duration::from_millis(1200),
             },
         }
--- a/crates/peers/tests/directory.rs
+++ b/crates/peers/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Callers are sent to ready instances beside the searchers.
+//! Callers get ready instances that are close to the searchers.
 
 use std::collections::BTreeMap;
 
@@ -29,20 +29,20 @@
 }
 
 #[test]
-fn callers_stay_in_their_region_where_it_holds_searchers() {
+fn callers_get_instances_of_their_region_if_it_has_searchers() {
     let covered = covered(&[("east", 20), ("west", 20), ("north", 2)]);
     assert_eq!(choose(caller("a", "east"), &fleet(), &covered), [1, 2]);
     assert_eq!(choose(caller("b", "west"), &fleet(), &covered), [3, 4]);
 }
 
 #[test]
-fn callers_of_a_region_without_searchers_go_where_these_are() {
+fn callers_of_a_region_without_searchers_get_instances_of_the_others() {
     let covered = covered(&[("east", 20), ("west", 20), ("north", 2)]);
     assert_eq!(choose(caller("c", "north"), &fleet(), &covered), [1, 2, 3, 4]);
 }
 
 #[test]
-fn the_last_instance_of_a_region_keeps_its_callers_until_it_is_lost_too() {
+fn callers_stay_in_their_region_until_its_last_instance_is_lost() {
     let covered = covered(&[("east", 20), ("west", 20)]);
     let ready: Vec<_> = fleet().into_iter().filter(|place| place.instance != 2).collect();
     assert_eq!(choose(caller("a", "east"), &ready, &covered), [1]);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn any_ready_instance_is_named_where_nothing_is_known_of_searchers() {
+fn any_ready_instance_is_selected_if_no_searchers_are_known() {
     let ready = vec![place(5, "c", "north")];
     assert_eq!(choose(caller("a", "east"), &ready, &BTreeMap::new()), [5]);
 }
--- a/crates/peers/tests/serving.rs
+++ b/crates/peers/tests/serving.rs
@@ -1,4 +1,4 @@
-//! All members of a small fleet serve; of a large one, the largest of each region.
+//! All members of a small fleet serve, and the largest of each region in a large fleet.
 
 use std::net::Ipv4Addr;
 
@@ -9,8 +9,8 @@
     Seat { ip: Ipv4Addr::new(10, 0, 0, number), region: region.into(), beside: true, weight }
 }
 
-/// The grown fleet of the pages: 12 machines of half a core, 63 of an eighth, 3 regions.
-fn grown() -> Vec<Seat> {
+/// A large fleet in 3 regions: 12 machines with half a core and 63 with an eighth.
+fn large_fleet() -> Vec<Seat> {
     let weight = |number: u8| if number < 12 { 500 } else { 120 };
     (0..75).map(|n| seat(n, ["a", "b", "c"][usize::from(n) % 3], weight(n))).collect()
 }
@@ -24,28 +24,32 @@
 
 #[test]
 fn the_largest_members_of_a_large_fleet_serve() {
-    let chosen = serving(&grown(), 60, &Seats::default());
+    let selected = serving(&large_fleet(), 60, &Seats::default());
     let wanted: Vec<_> = (0..12).map(|n| Ipv4Addr::new(10, 0, 0, n)).collect();
-    assert!(chosen.iter().eq(&wanted), "{chosen:?}");
+    assert!(selected.iter().eq(&wanted), "{selected:?}");
 }
 
 #[test]
-fn members_beside_the_searchers_serve_if_there_are_two_of_them() {
-    let fleet: Vec<_> =
-        grown().into_iter().map(|seat| Seat { beside: seat.ip.octets()[3] < 6, ..seat }).collect();
+fn only_members_in_zones_with_searchers_serve_if_there_are_two_of_them() {
+    let fleet: Vec<_> = large_fleet()
+        .into_iter()
+        .map(|seat| Seat { beside: seat.ip.octets()[3] < 6, ..seat })
+        .collect();
     assert_eq!(serving(&fleet, 60, &Seats::default()).len(), 6);
-    let fleet: Vec<_> =
-        grown().into_iter().map(|seat| Seat { beside: seat.ip.octets()[3] < 3, ..seat }).collect();
+    let fleet: Vec<_> = large_fleet()
+        .into_iter()
+        .map(|seat| Seat { beside: seat.ip.octets()[3] < 3, ..seat })
+        .collect();
     assert_eq!(serving(&fleet, 60, &Seats::default()).len(), 12);
 }
 
 #[test]
 fn a_region_that_lost_its_large_members_is_served_by_two_small_ones() {
     let lost = |seat: &Seat| &*seat.region != "a" || seat.weight < 500;
-    let left: Vec<_> = grown().into_iter().filter(lost).collect();
-    let chosen = serving(&left, 60, &Seats::default());
+    let left: Vec<_> = large_fleet().into_iter().filter(lost).collect();
+    let selected = serving(&left, 60, &Seats::default());
     let small: Vec<_> =
-        left.iter().filter(|seat| chosen.contains(&seat.ip) && seat.weight < 500).collect();
+        left.iter().filter(|seat| selected.contains(&seat.ip) && seat.weight < 500).collect();
     assert!(small.iter().all(|seat| &*seat.region == "a"));
     assert!((2..=4).contains(&small.len()), "{small:?}");
 }
@@ -54,6 +58,6 @@
 fn a_large_fleet_of_equal_members_keeps_its_connections_within_the_limit() {
     let fleet: Vec<_> =
         (0..88).map(|n| seat(n, ["a", "b", "c"][usize::from(n) % 3], 250)).collect();
-    let chosen = serving(&fleet, 60, &Seats::default());
-    assert!(chosen.len() * 4 <= 59 && chosen.len() >= 12, "{}", chosen.len());
+    let selected = serving(&fleet, 60, &Seats::default());
+    assert!(selected.len() * 4 <= 59 && selected.len() >= 12, "{}", selected.len());
 }
