--- a/crates/quarantine/src/door.rs
+++ b/crates/quarantine/src/door.rs
@@ -1,4 +1,4 @@
-//! The gate as the attempts of one request share it.
+//! A [`Gate`] that the concurrent attempts of one request share.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -7,7 +7,7 @@
 
 use crate::gate::{Gate, Outcome, Pass};
 
-/// A [`Gate`] at which further attempts wait for their turn.
+/// A [`Gate`] behind a lock, at which further attempts can wait for the result of a trial.
 #[derive(Debug, Default)]
 pub struct Door {
     gate: Mutex<Gate>,
@@ -15,20 +15,20 @@
 }
 
 impl Door {
-    /// Notes that a searcher ended under an attempt that was no trial.
+    /// Records that a searcher crashed during an attempt that was not a trial.
     pub fn hold(&self) {
         self.lock().hold();
     }
 
-    /// Tells whether further attempts pass freely.
+    /// Returns whether further attempts are unrestricted.
     pub fn is_free(&self) -> bool {
         self.lock().is_free()
     }
 
-    /// Waits, until a moment, for the leave to make a further attempt.
+    /// Waits until a further attempt may be made or is denied, at most until a deadline.
     ///
-    /// Whoever passes as [`Pass::Trial`] must [`Door::settle`] it. [`Pass::Wait`] is the answer
-    /// if the moment has come first.
+    /// A caller that gets [`Pass::Trial`] must report the result with [`Door::settle`]. Returns
+    /// [`Pass::Wait`] if the deadline passes first.
     pub async fn pass(&self, until: Instant) -> Pass {
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes in how a trial ended, and lets those who wait go on.
+    /// Records the result of a trial and wakes the waiting attempts.
     pub fn settle(&self, outcome: Outcome) {
         self.lock().settle(outcome);
         self.changed.notify_waiters();
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,14 +1,14 @@
-//! What makes two requests the same.
+//! Identity of a request across attempts and callers.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Names the requests that ask for the same: one method, path, query and body.
+/// Identifies all requests with the same method, path, query and body.
 ///
-/// The caller's identifier of the attempt isn't part of it. A cryptographic hash, so that
-/// nobody can craft a request that shares the fingerprint of somebody else's.
+/// The caller's attempt identifier is not included. The hash is cryptographic, so that nobody
+/// can craft a request with the fingerprint of somebody else's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
--- a/crates/quarantine/src/gate.rs
+++ b/crates/quarantine/src/gate.rs
@@ -1,83 +1,83 @@
-//! The gate for further attempts within one caller's attempt.
+//! Limits further attempts within one attempt of a caller.
 //!
-//! Once a searcher has ended under a request, its further attempts (retries, hedges, shards
-//! that a member could not bring) wait for one of them to be answered. Invariant: from the end
-//! of the first searcher until an answer, one further attempt is under way at the most; after
-//! one that ended its searcher as well, none is made any more.
+//! Once a searcher has crashed during a request, its further attempts (retries, hedges, shards
+//! that a member could not deliver) wait until one of them is answered. Invariant: between the
+//! first crash and an answer, at most one further attempt is in flight; if the searcher of that
+//! one crashes as well, no further attempt is made.
 
 /// Whether a further attempt may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pass {
-    /// It may.
+    /// It may be made without restriction.
     Free,
-    /// It may, as the one that shows whether the request does harm.
+    /// It may be made as the trial that shows whether the request crashes searchers.
     Trial,
-    /// Another one is showing that.
+    /// It has to wait for the result of a trial in flight.
     Wait,
-    /// It may not.
+    /// It must not be made.
     Denied,
 }
 
-/// How a trial ended.
+/// The result of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered: the request does no harm.
+    /// The searcher answered: the request is harmless.
     Answered,
-    /// Its searcher has ended.
+    /// The searcher crashed.
     Ended,
-    /// It showed nothing: nothing was sent, or the searcher failed in another way.
+    /// Inconclusive: nothing was sent, or the searcher failed without crashing.
     Open,
 }
 
-/// The gate for further attempts.
+/// The state that decides about further attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Gate {
-    /// No searcher has ended.
+    /// No searcher has crashed.
     #[default]
     Open,
-    /// A searcher has ended.
+    /// A searcher has crashed, and no trial has had a conclusive result.
     Held {
-        /// Whether a trial is under way.
-        trial: bool,
+        /// Whether a trial is in flight.
+        trial_in_flight: bool,
     },
-    /// A searcher had ended, and a trial was answered.
+    /// A searcher had crashed, and a trial was answered since.
     Cleared,
-    /// A trial ended its searcher.
-    Shut,
+    /// The searcher of a trial has crashed.
+    Closed,
 }
 
 impl Gate {
-    /// Notes that a searcher ended under an attempt that was no trial.
+    /// Records that a searcher crashed during an attempt that was not a trial.
     pub fn hold(&mut self) {
         if *self == Self::Open {
-            *self = Self::Held { trial: false };
+            *self = Self::Held { trial_in_flight: false };
         }
     }
 
-    /// Asks to make a further attempt.
+    /// Requests a further attempt. [`Pass::Trial`] starts the trial.
     pub fn pass(&mut self) -> Pass {
         match self {
             Self::Open | Self::Cleared => Pass::Free,
-            Self::Held { trial: true } => Pass::Wait,
-            Self::Held { trial } => {
-                *trial = true;
+            Self::Held { trial_in_flight: true } => Pass::Wait,
+            Self::Held { trial_in_flight } => {
+                *trial_in_flight = true;
                 Pass::Trial
             }
-            Self::Shut => Pass::Denied,
+            Self::Closed => Pass::Denied,
         }
     }
 
-    /// Tells whether further attempts pass freely.
+    /// Returns whether further attempts are unrestricted.
     pub fn is_free(&self) -> bool {
         matches!(self, Self::Open | Self::Cleared)
     }
 
-    /// Takes in how the trial ended.
+    /// Records the result of the trial.
     pub fn settle(&mut self, outcome: Outcome) {
         *self = match outcome {
             Outcome::Answered => Self::Cleared,
-            Outcome::Ended => Self::Shut,
-            Outcome::Open => Self::Held { trial: false },
+            Outcome::Ended => Self::Closed,
+            Outcome::Open => Self::Held { trial_in_flight: false },
         };
     }
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,15 +1,16 @@
-//! Requests that end the searchers that run them.
+//! Quarantine for requests that crash the searchers that run them.
 //!
-//! A request that crashes whoever runs it comes again, and each time it would take another
-//! searcher of every shard along. So a request under which a searcher ended is a suspect: it is
-//! sent to one searcher alone ([`Door`] within a caller's attempt, [`Table`] beyond it) and to
-//! the others once that one has answered. If searchers keep ending under such trials, the
-//! request is condemned, and refused everywhere until the verdict is forgotten.
+//! A request that crashes its searcher is usually sent again, and each time it could crash one
+//! more searcher of every shard. A request that was running on a searcher when that crashed is
+//! therefore a suspect: it is sent to a single searcher as a trial ([`Door`] within one attempt of
+//! a caller, [`Table`] across attempts) and to the others only once the trial was answered. If
+//! searchers keep crashing during trials, the request is condemned, and all members reject it
+//! until the record expires.
 //!
-//! What ends with a searcher isn't all guilty: a crash of a rack takes along whatever was in
-//! flight there. Invariants: however many searchers ended while a request was sent to many at
-//! once, that counts as one strike; only ends under trials add further ones; and an answer ends
-//! every suspicion of before it. See `docs/design/0014-fatal-requests.md`.
+//! A crash does not prove that a request caused it: when a rack fails, every request in flight
+//! there is affected. Invariants: all crashes during fan-outs of a request count as one strike
+//! together, however many there were; only crashes during trials add further strikes; and an
+//! answer clears all strikes before it. See `docs/design/0014-fatal-requests.md`.
 
 mod door;
 mod fingerprint;
--- a/crates/quarantine/src/report.rs
+++ b/crates/quarantine/src/report.rs
@@ -1,4 +1,4 @@
-//! What members tell each other of a suspicion.
+//! The messages about suspect requests that members exchange.
 
 use std::time::Duration;
 
@@ -7,31 +7,33 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// An end of searchers under a request.
+/// A crash of one or more searchers while they ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
-    /// Names the occasion: all that ended while one caller's attempt was sent to many searchers
-    /// is one, and so is each trial.
+    /// Identifies the event: all crashes during the fan-out of one caller's attempt share an
+    /// identifier, and each trial has its own.
     #[serde(rename = "i")]
     pub id: u64,
-    /// Whether the request was sent to one searcher alone.
+    /// Whether the request was sent to a single searcher.
     #[serde(rename = "t")]
     pub trial: bool,
-    /// The hash of the searcher that a trial has ended, zero for other strikes.
+    /// The hash of the searcher that crashed during a trial, zero for other strikes.
     #[serde(rename = "w", default)]
     pub searcher: u64,
-    /// Whether the request was answered since.
+    /// Whether the request has been answered since.
     #[serde(rename = "c")]
     pub cleared: bool,
 }
 
 impl Strike {
-    /// Names the end of searchers while one attempt of a caller, by its identifier, was with many.
+    /// Creates the strike for crashes during the fan-out of a caller's attempt, given the
+    /// identifier of the attempt.
     pub fn together(attempt: &[u8]) -> Self {
         Self { id: hash_bytes(attempt), trial: false, searcher: 0, cleared: false }
     }
 
-    /// Names the end of a searcher, by its incarnation, that had a caller's attempt alone.
+    /// Creates the strike for the crash of a searcher, given as its incarnation, that was the only
+    /// one to run a caller's attempt.
     pub fn alone(attempt: &[u8], searcher: &str) -> Self {
         let searcher = hash_bytes(searcher.as_bytes());
         let id = hash_pair(hash_bytes(attempt), searcher);
@@ -39,28 +41,29 @@
     }
 }
 
-/// A suspicion, as it travels between members.
+/// The state of a suspect request, as sent between members.
 ///
-/// Two reports about one request merge into the union of their strikes, so the order in which
-/// they arrive is of no matter, nor is it that some arrive twice.
+/// Reports about one request merge into the union of their strikes, so that neither their order
+/// nor duplicates matter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// What speaks against it.
+    /// The crashes that are held against it.
     #[serde(rename = "s")]
     pub strikes: Vec<Strike>,
-    /// Services whose searchers ended under it, a few of them.
+    /// Some of the services whose searchers crashed while they ran it.
     #[serde(rename = "v")]
     pub services: Vec<Name>,
-    /// How long ago the first searcher ended.
+    /// The time since the first crash.
     #[serde(rename = "a")]
     pub age: Duration,
 }
 
 impl Report {
-    /// Tells whether a trial has ended its searcher, so that the report can't wait.
+    /// Returns whether a searcher crashed during a trial, in which case the report must be sent at
+    /// once.
     pub fn is_urgent(&self) -> bool {
         self.strikes.iter().any(|strike| strike.trial && !strike.cleared)
     }
--- a/crates/quarantine/src/shared.rs
+++ b/crates/quarantine/src/shared.rs
@@ -1,4 +1,4 @@
-//! The table as the parts of a member share it: who handles requests, and who tells the others.
+//! Thread-safe access to the table, for request handling and for membership.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,44 +12,43 @@
 use crate::report::{Report, Strike};
 use crate::table::{Settings, Standing, Table};
 
-/// How many first suspicions a member tells others of in a second. Where many searchers crash at
-/// once, whatever was in flight there is suspect, most of which never comes again; what harms
-/// a second time is told in any case.
-const FIRST_SUSPICIONS: u32 = 20;
+/// How many crashes during requests that are not severe (see [`Table::is_severe`]) a member
+/// reports per [`RATE_WINDOW`]. When many searchers crash at once, every request in flight there
+/// is a suspect, and most of them are never sent again. Severe requests are always reported.
+const MAX_MINOR_REPORTS: u32 = 20;
 
-const SECOND: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What the other members are still to be told.
+/// The requests to be reported to the other members.
 #[derive(Debug, Default)]
-struct News {
+struct PendingReports {
     requests: BTreeSet<Fingerprint>,
-    /// The second that is under way, and how many first suspicions it has seen.
+    /// The start of the current rate window, and how many minor reports were requested in it.
     window: Option<(Instant, u32)>,
 }
 
-impl News {
-    /// Tells whether others may be told of one more first suspicion.
-    fn admits(&mut self, now: Instant) -> bool {
+impl PendingReports {
+    /// Returns whether the rate limit admits one more report about a request that is not severe.
+    fn admit_minor(&mut self, now: Instant) -> bool {
         let current =
-            self.window.filter(|(begun, _)| now.saturating_duration_since(*begun) < SECOND);
-        let (begun, count) = current.unwrap_or((now, 0));
-        self.window = Some((begun, count + 1));
-        count < FIRST_SUSPICIONS
+            self.window.filter(|(start, _)| now.saturating_duration_since(*start) < RATE_WINDOW);
+        let (start, count) = current.unwrap_or((now, 0));
+        self.window = Some((start, count + 1));
+        count < MAX_MINOR_REPORTS
     }
 }
 
-/// A table that several parts of a member use.
+/// A [`Table`] behind a lock, with the reports that are due to other members.
 #[derive(Debug)]
 pub struct Shared {
     table: Mutex<Table>,
-    /// Whether anything is held of any request: if not, an ordinary one takes no lock.
-    used: AtomicBool,
-    /// The hash of the table, which goes into every datagram.
+    /// Whether the table has any records. If not, requests are handled without taking the lock.
+    has_records: AtomicBool,
+    /// The hash of the table, which is part of every datagram.
     hash: AtomicU64,
-    /// Whether this member still has to hear what the others hold.
-    uninformed: AtomicBool,
-    /// The requests of which the other members are still to be told.
-    news: Mutex<News>,
+    /// Whether this member has yet to receive the records of the others.
+    unsynced: AtomicBool,
+    pending: Mutex<PendingReports>,
     changed: Notify,
 }
 
@@ -57,18 +56,18 @@
     fn default() -> Self {
         Self {
             table: Mutex::new(Table::new(Settings::default())),
-            used: AtomicBool::new(false),
+            has_records: AtomicBool::new(false),
             hash: AtomicU64::new(0),
-            uninformed: AtomicBool::new(false),
-            news: Mutex::default(),
+            unsynced: AtomicBool::new(false),
+            pending: Mutex::default(),
             changed: Notify::new(),
         }
     }
 }
 
 impl Shared {
-    /// Returns what is held of a request, whose fingerprint is computed only if anything is held
-    /// of any.
+    /// Returns the standing of a request. Its fingerprint is computed only if there are records of
+    /// any request.
     pub fn standing(&self, now: Instant, of: impl FnOnce() -> Fingerprint) -> Standing {
         if !self.is_used() {
             return Standing::Trusted;
@@ -76,13 +75,13 @@
         self.lock().standing(of(), now)
     }
 
-    /// Tells whether anything is held of any request.
+    /// Returns whether there are records of any request.
     pub fn is_used(&self) -> bool {
-        self.used.load(Ordering::Relaxed)
+        self.has_records.load(Ordering::Relaxed)
     }
 
-    /// Notes that a searcher of a service ended under a request; returns what is held of it now
-    /// if that is news.
+    /// Records that a searcher of a service crashed while it ran a request. Returns the new
+    /// standing of the request if the record changed.
     pub fn accuse(
         &self,
         now: Instant,
@@ -91,79 +90,80 @@
         service: &Name,
     ) -> Option<Standing> {
         let mut table = self.lock();
-        let news = table.accuse(now, fingerprint, strike, service);
+        let changed = table.accuse(now, fingerprint, strike, service);
         let standing = table.standing(fingerprint, now);
-        let grave = table.is_grave(fingerprint);
-        self.note(&table);
+        let severe = table.is_severe(fingerprint);
+        self.update_summary(&table);
         drop(table);
-        if news && (grave || self.lock_news().admits(now)) {
-            self.tell(fingerprint);
+        if changed && (severe || self.lock_pending().admit_minor(now)) {
+            self.queue_report(fingerprint);
         }
-        news.then_some(standing)
+        changed.then_some(standing)
     }
 
-    /// Notes that a request was answered by services, and tells whether that is news.
+    /// Records that services answered a request, and returns whether the record changed.
     pub fn acquit(&self, fingerprint: Fingerprint, services: &[Name]) -> bool {
         let mut table = self.lock();
-        let news = table.acquit(fingerprint, services);
-        if news {
-            self.note(&table);
+        let changed = table.acquit(fingerprint, services);
+        if changed {
+            self.update_summary(&table);
             drop(table);
-            self.tell(fingerprint);
+            self.queue_report(fingerprint);
         }
-        news
+        changed
     }
 
-    /// Grants a trial, unless one is under way.
+    /// Grants a trial, unless the request is condemned or a trial is in flight.
     pub fn grant(&self, now: Instant, fingerprint: Fingerprint) -> bool {
         self.lock().grant(now, fingerprint)
     }
 
-    /// Takes in what another member reports, and tells whether that is news.
+    /// Merges the report of another member, and returns whether the record changed.
     pub fn merge(&self, now: Instant, report: &Report) -> bool {
         let mut table = self.lock();
-        let news = table.merge(now, report);
-        if news {
-            self.note(&table);
+        let changed = table.merge(now, report);
+        if changed {
+            self.update_summary(&table);
         }
-        news
+        changed
     }
 
-    /// Notes whether this member has heard what the others hold.
+    /// Sets whether this member has received the records of the others.
     pub fn set_informed(&self, informed: bool) {
-        self.uninformed.store(!informed, Ordering::Relaxed);
+        self.unsynced.store(!informed, Ordering::Relaxed);
     }
 
-    /// Tells whether this member has heard what the others hold, so that it may take requests.
+    /// Returns whether this member has received the records of the others, and so may accept
+    /// requests.
     pub fn is_informed(&self) -> bool {
-        !self.uninformed.load(Ordering::Relaxed)
+        !self.unsynced.load(Ordering::Relaxed)
     }
 
-    /// Takes what the other members are still to be told.
+    /// Takes the reports that are due to the other members.
     pub fn take_news(&self, now: Instant) -> Vec<Report> {
-        let news = std::mem::take(&mut self.lock_news().requests);
+        let requests = std::mem::take(&mut self.lock_pending().requests);
         let table = self.lock();
-        news.into_iter().filter_map(|fingerprint| table.report(fingerprint, now)).collect()
+        requests.into_iter().filter_map(|fingerprint| table.report(fingerprint, now)).collect()
     }
 
-    /// Waits until there is news for the other members.
+    /// Waits until reports are due to the other members.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Reports one request.
+    /// Returns the report about a request.
     pub fn report(&self, now: Instant, fingerprint: Fingerprint) -> Option<Report> {
         self.lock().report(fingerprint, now)
     }
 
-    /// Reports all requests that anything speaks against.
+    /// Returns the reports about all requests with strikes.
     pub fn reports(&self, now: Instant) -> Vec<Report> {
         self.lock().reports(now)
     }
 
-    /// Reports the requests that have done harm more than once since they were last answered.
+    /// Returns the reports about severe requests, see [`Table::is_severe`].
     pub fn grave(&self, now: Instant) -> Vec<Report> {
-        self.lock().grave(now)
+        self.lock().severe_reports(now)
     }
 
     /// Returns a hash of what all members should know, see [`Table::hash`].
@@ -171,24 +171,24 @@
         self.hash.load(Ordering::Relaxed)
     }
 
-    /// Forgets what is too old.
+    /// Removes records that are older than the retention time.
     pub fn expire(&self, now: Instant) {
         if self.is_used() {
             let mut table = self.lock();
             if table.expire(now) {
-                self.note(&table);
+                self.update_summary(&table);
             }
         }
     }
 
-    /// Notes what is asked for without the lock.
-    fn note(&self, table: &Table) {
-        self.used.store(!table.is_empty(), Ordering::Relaxed);
+    /// Updates the values that are read without the lock.
+    fn update_summary(&self, table: &Table) {
+        self.has_records.store(!table.is_empty(), Ordering::Relaxed);
         self.hash.store(table.hash(), Ordering::Relaxed);
     }
 
-    fn tell(&self, fingerprint: Fingerprint) {
-        self.lock_news().requests.insert(fingerprint);
+    fn queue_report(&self, fingerprint: Fingerprint) {
+        self.lock_pending().requests.insert(fingerprint);
         self.changed.notify_one();
     }
 
@@ -196,7 +196,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_news(&self) -> MutexGuard<'_, News> {
-        self.news.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_pending(&self) -> MutexGuard<'_, PendingReports> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -1,8 +1,8 @@
-//! What a member remembers of requests under which searchers ended.
+//! A member's records of requests during which searchers crashed.
 //!
-//! Invariants: what is remembered is bounded in number and age; strikes are only ever added or
-//! cleared, so that members who hear the same reports in any order agree; a trial counts against a
-//! request only if no other request was tried at the same searcher when it ended.
+//! Invariants: the records are bounded in number and age; strikes are only ever added or cleared,
+//! so that members converge whatever the order in which they receive reports; the strike of a trial
+//! counts only if no other request was on trial at the same searcher when it crashed.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -12,90 +12,92 @@
 use crate::fingerprint::Fingerprint;
 use crate::report::{Report, Strike};
 
-/// The most strikes that are kept of one request; those that don't count give way.
-const MOST_STRIKES: usize = 8;
+/// The most strikes that are kept per request; the least significant are evicted first.
+const MAX_STRIKES: usize = 8;
 
-/// The most services that are kept of one request, so that a report fits a datagram.
-const MOST_SERVICES: usize = 4;
+/// The most services that are kept per request, so that a report fits into a datagram.
+const MAX_SERVICES: usize = 4;
 
 /// The limits of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How many strikes condemn: the first fan-out and two trials.
-    pub strikes: usize,
-    /// How long a request is remembered: whoever sends a harmful one does so again within a day.
-    pub kept: Duration,
-    /// How many requests are remembered: a few hundred bytes each.
-    pub most: usize,
-    /// How long one trial keeps others from starting, in case nothing is heard of it.
-    pub trial: Duration,
+    /// How many strikes condemn a request: the first fan-out and two trials.
+    pub strike_limit: usize,
+    /// How long a record is kept: a caller of a harmful request sends it again within a day.
+    pub retention: Duration,
+    /// How many records are kept, at a few hundred bytes each.
+    pub max_records: usize,
+    /// How long a granted trial blocks others if its result never arrives.
+    pub trial_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            strikes: 3,
-            kept: Duration::from_hours(24),
-            most: 1024,
-            trial: Duration::from_secs(1),
+            strike_limit: 3,
+            retention: Duration::from_hours(24),
+            max_records: 1024,
+            trial_timeout: Duration::from_secs(1),
         }
     }
 }
 
-/// What is held of a request.
+/// How a request is to be treated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// It has no strikes.
     Trusted,
-    /// Searchers have ended under it: it is tried at one searcher first, of one of these services.
+    /// Searchers crashed while they ran it: it is first tried at a single searcher of one of these
+    /// services.
     Suspect(Vec<Name>),
-    /// It isn't sent to any searcher until the verdict is forgotten, after this time.
+    /// It is not sent to any searcher until its record expires, after this time.
     Condemned(Duration),
 }
 
-/// What speaks against one request.
+/// The record of a request.
 #[derive(Clone, Debug)]
-struct Suspicion {
+struct Record {
     strikes: BTreeMap<u64, Strike>,
     services: Vec<Name>,
     since: Instant,
-    /// Until when a trial that was granted here keeps others from starting.
-    trial: Option<Instant>,
+    /// Until when a trial that was granted here blocks others.
+    trial_until: Option<Instant>,
 }
 
-impl Suspicion {
+impl Record {
     fn new(since: Instant) -> Self {
-        Self { strikes: BTreeMap::new(), services: Vec::new(), since, trial: None }
+        Self { strikes: BTreeMap::new(), services: Vec::new(), since, trial_until: None }
     }
 
-    /// Returns the strikes that stand, those of trials or the others.
-    fn open(&self, trial: bool) -> impl Iterator<Item = &Strike> {
+    /// Iterates over the uncleared strikes, either those of trials or those of fan-outs.
+    fn uncleared(&self, trial: bool) -> impl Iterator<Item = &Strike> {
         self.strikes.values().filter(move |strike| !strike.cleared && strike.trial == trial)
     }
 
-    /// Counts the strikes of trials that `counts` and all others together as one.
-    fn weight(&self, counts: impl Fn(&Strike) -> bool) -> usize {
-        let trials = self.open(true).filter(|strike| counts(strike)).count();
-        trials + usize::from(self.open(false).next().is_some())
+    /// Counts the uncleared strikes: each one of a trial for which `counts` holds, and those of
+    /// fan-outs as one together.
+    fn count_strikes(&self, counts: impl Fn(&Strike) -> bool) -> usize {
+        let trials = self.uncleared(true).filter(|strike| counts(strike)).count();
+        trials + usize::from(self.uncleared(false).next().is_some())
     }
 
-    fn is_grave(&self) -> bool {
-        self.weight(|_| true) > 1
+    fn is_severe(&self) -> bool {
+        self.count_strikes(|_| true) > 1
     }
 
-    /// Tells whether a trial of the request is said to have ended a searcher.
-    fn blames(&self, searcher: u64) -> bool {
-        self.open(true).any(|strike| strike.searcher == searcher)
+    /// Returns whether a searcher crashed during a trial of the request.
+    fn has_trial_strike(&self, searcher: u64) -> bool {
+        self.uncleared(true).any(|strike| strike.searcher == searcher)
     }
 
     fn add_service(&mut self, service: &Name) {
-        if self.services.len() < MOST_SERVICES && !self.services.contains(service) {
+        if self.services.len() < MAX_SERVICES && !self.services.contains(service) {
             self.services.push(Name::clone(service));
         }
     }
 
-    /// Adds a strike, and tells whether that changed anything.
-    fn add(&mut self, strike: Strike) -> bool {
+    /// Adds a strike, and returns whether the record changed.
+    fn add_strike(&mut self, strike: Strike) -> bool {
         if let Some(known) = self.strikes.get_mut(&strike.id) {
             let changed = strike.cleared && !known.cleared || strike.trial && !known.trial;
             known.cleared |= strike.cleared;
@@ -103,13 +105,16 @@
             return changed;
         }
         self.strikes.insert(strike.id, strike);
-        if self.strikes.len() <= MOST_STRIKES {
+        if self.strikes.len() <= MAX_STRIKES {
             return true;
         }
-        // Trials that stand are worth more than what was cleared or counts once in all.
-        let least = self.strikes.values().min_by_key(|s| (s.trial && !s.cleared, s.id));
-        let least = least.map(|strike| strike.id);
-        least.and_then(|id| self.strikes.remove(&id)).is_none_or(|removed| removed.id != strike.id)
+        // Uncleared strikes of trials outrank cleared ones and those of fan-outs, which count only
+        // once together.
+        let evicted = self.strikes.values().min_by_key(|s| (s.trial && !s.cleared, s.id));
+        let evicted = evicted.map(|strike| strike.id);
+        evicted
+            .and_then(|id| self.strikes.remove(&id))
+            .is_none_or(|removed| removed.id != strike.id)
     }
 
     fn report(&self, fingerprint: Fingerprint, now: Instant) -> Report {
@@ -122,46 +127,47 @@
     }
 }
 
-/// What a member remembers of requests under which searchers ended.
+/// A member's records of requests during which searchers crashed.
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
-    suspicions: HashMap<Fingerprint, Suspicion>,
+    records: HashMap<Fingerprint, Record>,
 }
 
 impl Table {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(settings: Settings) -> Self {
-        Self { settings, suspicions: HashMap::new() }
+        Self { settings, records: HashMap::new() }
     }
 
-    /// Tells whether nothing speaks against any request.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
-        self.suspicions.is_empty()
+        self.records.is_empty()
     }
 
-    /// Returns what is held of a request.
+    /// Returns the standing of a request.
     pub fn standing(&self, fingerprint: Fingerprint, now: Instant) -> Standing {
-        let Some(known) = self.suspicions.get(&fingerprint) else {
+        let Some(record) = self.records.get(&fingerprint) else {
             return Standing::Trusted;
         };
-        let left = (known.since + self.settings.kept).saturating_duration_since(now);
-        // One of the requests that were tried at a searcher when it ended did it, and it isn't
-        // known which.
-        let alone = |strike: &Strike| {
-            let others = self.suspicions.iter().filter(|(other, _)| **other != fingerprint);
-            !others.map(|(_, known)| known).any(|known| known.blames(strike.searcher))
+        let left = (record.since + self.settings.retention).saturating_duration_since(now);
+        // If several requests were on trial at a searcher when it crashed, it is not known which
+        // one caused the crash.
+        let unambiguous = |strike: &Strike| {
+            let others = self.records.iter().filter(|(other, _)| **other != fingerprint);
+            !others.map(|(_, record)| record).any(|record| record.has_trial_strike(strike.searcher))
         };
-        if left.is_zero() || known.weight(|_| true) == 0 {
+        if left.is_zero() || record.count_strikes(|_| true) == 0 {
             Standing::Trusted
-        } else if known.weight(alone) >= self.settings.strikes {
+        } else if record.count_strikes(unambiguous) >= self.settings.strike_limit {
             Standing::Condemned(left)
         } else {
-            Standing::Suspect(known.services.clone())
+            Standing::Suspect(record.services.clone())
         }
     }
 
-    /// Notes that a searcher of a service ended under a request, and tells whether that is news.
+    /// Records that a searcher of a service crashed while it ran a request, and returns whether the
+    /// record changed.
     pub fn accuse(
         &mut self,
         now: Instant,
@@ -170,111 +176,112 @@
         service: &Name,
     ) -> bool {
         self.make_room(now, fingerprint);
-        let known = self.suspicions.entry(fingerprint).or_insert_with(|| Suspicion::new(now));
-        known.add_service(service);
-        let news = known.add(strike);
+        let record = self.records.entry(fingerprint).or_insert_with(|| Record::new(now));
+        record.add_service(service);
+        let changed = record.add_strike(strike);
         if strike.trial {
-            known.trial = None;
+            record.trial_until = None;
         }
-        news
+        changed
     }
 
-    /// Notes that a request was answered, and tells whether that is news.
+    /// Records that a request was answered, and returns whether the record changed.
     ///
-    /// An answer speaks for the request only if it is one of a service whose searchers have ended
-    /// under it: it may harm one shard and not another.
+    /// An answer clears the strikes only if it came from one of the services whose searchers
+    /// crashed: a request may crash the searchers of one shard and not those of another.
     pub fn acquit(&mut self, fingerprint: Fingerprint, services: &[Name]) -> bool {
-        let Some(known) = self.suspicions.get_mut(&fingerprint) else {
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
-        if !known.services.iter().any(|service| services.contains(service)) {
+        if !record.services.iter().any(|service| services.contains(service)) {
             return false;
         }
-        known.trial = None;
-        let mut open = known.strikes.values_mut().filter(|strike| !strike.cleared).peekable();
-        let news = open.peek().is_some();
-        open.for_each(|strike| strike.cleared = true);
-        news
+        record.trial_until = None;
+        let mut uncleared = record.strikes.values_mut().filter(|strike| !strike.cleared).peekable();
+        let changed = uncleared.peek().is_some();
+        uncleared.for_each(|strike| strike.cleared = true);
+        changed
     }
 
-    /// Grants a trial of a suspect, unless one is under way.
+    /// Grants a trial of a suspect, unless it is condemned or a trial is in flight.
     ///
-    /// Only the member to which a request falls among all grants trials of it.
+    /// Among the members, only the owner of the request by rendezvous hashing grants its trials.
     pub fn grant(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
         if matches!(self.standing(fingerprint, now), Standing::Condemned(_)) {
             return false;
         }
-        // Whoever asks knows of a strike that may be on its way here.
+        // The member that asks has seen a strike whose report may not have arrived here yet.
         self.make_room(now, fingerprint);
-        let known = self.suspicions.entry(fingerprint).or_insert_with(|| Suspicion::new(now));
-        let is_free = known.trial.is_none_or(|until| until <= now);
-        if is_free {
-            known.trial = Some(now + self.settings.trial);
+        let record = self.records.entry(fingerprint).or_insert_with(|| Record::new(now));
+        let granted = record.trial_until.is_none_or(|until| until <= now);
+        if granted {
+            record.trial_until = Some(now + self.settings.trial_timeout);
         }
-        is_free
+        granted
     }
 
-    /// Takes in what another member reports, and tells whether that is news.
+    /// Merges the report of another member, and returns whether the record changed.
     pub fn merge(&mut self, now: Instant, report: &Report) -> bool {
         let Some(since) = now.checked_sub(report.age) else {
             return false;
         };
-        if report.age >= self.settings.kept || report.strikes.is_empty() {
+        if report.age >= self.settings.retention || report.strikes.is_empty() {
             return false;
         }
         self.make_room(now, report.fingerprint);
-        let known =
-            self.suspicions.entry(report.fingerprint).or_insert_with(|| Suspicion::new(since));
-        known.since = known.since.min(since);
+        let record = self.records.entry(report.fingerprint).or_insert_with(|| Record::new(since));
+        record.since = record.since.min(since);
         for service in &report.services {
-            known.add_service(service);
+            record.add_service(service);
         }
-        let mut news = false;
-        for strike in report.strikes.iter().take(MOST_STRIKES) {
-            if known.add(*strike) {
-                news = true;
+        let mut changed = false;
+        for strike in report.strikes.iter().take(MAX_STRIKES) {
+            if record.add_strike(*strike) {
+                changed = true;
                 if strike.trial || strike.cleared {
-                    // It tells how the trial ended.
-                    known.trial = None;
+                    // The strike is the result of the trial.
+                    record.trial_until = None;
                 }
             }
         }
-        news
+        changed
     }
 
-    /// Reports one request.
+    /// Returns the report about a request, if it has strikes.
     pub fn report(&self, fingerprint: Fingerprint, now: Instant) -> Option<Report> {
-        let known = self.suspicions.get(&fingerprint)?;
-        (!known.strikes.is_empty()).then(|| known.report(fingerprint, now))
+        let record = self.records.get(&fingerprint)?;
+        (!record.strikes.is_empty()).then(|| record.report(fingerprint, now))
     }
 
-    /// Reports all requests that anything speaks against.
+    /// Returns the reports about all requests with strikes.
     pub fn reports(&self, now: Instant) -> Vec<Report> {
-        let known = self.suspicions.iter();
-        let known = known.filter(|(_, known)| !known.strikes.is_empty());
-        known.map(|(fingerprint, known)| known.report(*fingerprint, now)).collect()
+        let records = self.records.iter();
+        let records = records.filter(|(_, record)| !record.strikes.is_empty());
+        records.map(|(fingerprint, record)| record.report(*fingerprint, now)).collect()
     }
 
-    /// Tells whether a request has done harm more than once since it was last answered.
-    pub fn is_grave(&self, fingerprint: Fingerprint) -> bool {
-        self.suspicions.get(&fingerprint).is_some_and(Suspicion::is_grave)
+    /// Returns whether a request is severe: it has more than one strike since it was last answered,
+    /// where all strikes of fan-outs count as one.
+    pub fn is_severe(&self, fingerprint: Fingerprint) -> bool {
+        self.records.get(&fingerprint).is_some_and(Record::is_severe)
     }
 
-    /// Reports the requests that have done harm more than once since they were last answered.
-    pub fn grave(&self, now: Instant) -> Vec<Report> {
-        let grave = self.suspicions.iter().filter(|(_, known)| known.is_grave());
-        grave.map(|(fingerprint, known)| known.report(*fingerprint, now)).collect()
+    /// Returns the reports about severe requests, see [`Table::is_severe`].
+    pub fn severe_reports(&self, now: Instant) -> Vec<Report> {
+        let severe = self.records.iter().filter(|(_, record)| record.is_severe());
+        severe.map(|(fingerprint, record)| record.report(*fingerprint, now)).collect()
     }
 
-    /// Returns a hash of the strikes of all requests that have done harm more than once, the same
-    /// at members who know the same; zero for none.
+    /// Returns a hash of the strikes of all severe requests, zero if there are none. Members with
+    /// the same strikes have the same hash.
     ///
-    /// Members whose hashes differ tell each other. First suspicions aren't part of it: they are
-    /// many where searchers crash by themselves, and whoever misses one finds out by itself.
+    /// Members whose hashes differ exchange reports. Requests that are not severe are left out:
+    /// there are many of them when searchers crash for other reasons, and a member that misses one
+    /// finds out by its own first attempt.
     pub fn hash(&self) -> u64 {
-        let grave = self.suspicions.iter().filter(|(_, known)| known.is_grave());
-        let strikes = grave.flat_map(|(fingerprint, known)| {
-            known.strikes.values().map(move |strike| (fingerprint, strike))
+        let severe = self.records.iter().filter(|(_, record)| record.is_severe());
+        let strikes = severe.flat_map(|(fingerprint, record)| {
+            record.strikes.values().map(move |strike| (fingerprint, strike))
         });
         strikes.fold(0, |sum, (fingerprint, strike)| {
             let flags = u64::from(strike.trial) << 1 | u64::from(strike.cleared);
@@ -282,27 +289,28 @@
         })
     }
 
-    /// Forgets what is too old, and tells whether there was any.
+    /// Removes records that are older than the retention time, and returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let (kept, before) = (self.settings.kept, self.suspicions.len());
-        self.suspicions.retain(|_, known| now.saturating_duration_since(known.since) < kept);
-        self.suspicions.len() < before
+        let (retention, before) = (self.settings.retention, self.records.len());
+        self.records.retain(|_, record| now.saturating_duration_since(record.since) < retention);
+        self.records.len() < before
     }
 
-    /// Makes room for one more request: those that were cleared give way first, then the oldest.
+    /// Makes room for one more record: evicts the one with the fewest uncleared strikes, and
+    /// among equals the oldest.
     fn make_room(&mut self, now: Instant, fingerprint: Fingerprint) {
-        if self.suspicions.contains_key(&fingerprint) || self.suspicions.len() < self.settings.most
+        if self.records.contains_key(&fingerprint) || self.records.len() < self.settings.max_records
         {
             return;
         }
         self.expire(now);
-        let strikes = self.settings.strikes;
-        let rank = |known: &Suspicion| (known.weight(|_| true).min(strikes), known.since);
-        let least = self.suspicions.iter().min_by_key(|(_, known)| rank(known));
-        if let Some(least) = least.map(|(fingerprint, _)| *fingerprint)
-            && self.suspicions.len() >= self.settings.most
+        let limit = self.settings.strike_limit;
+        let rank = |record: &Record| (record.count_strikes(|_| true).min(limit), record.since);
+        let evicted = self.records.iter().min_by_key(|(_, record)| rank(record));
+        if let Some(evicted) = evicted.map(|(fingerprint, _)| *fingerprint)
+            && self.records.len() >= self.settings.max_records
         {
-            self.suspicions.remove(&least);
+            self.records.remove(&evicted);
         }
     }
 }
--- a/crates/quarantine/tests/fleet/world.rs
+++ b/crates/quarantine/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The fleet, its searchers and its callers, event by event.
+//! Discrete-event simulation of the fleet, its searchers and its callers.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,81 +17,83 @@
 
 const REPLICAS: usize = 2;
 
-/// How long a searcher works on a request before it ends or answers.
-const WORK: Ms = 10;
+/// How long a searcher runs a request before it crashes or answers.
+const SERVICE_TIME: Ms = 10;
 
-/// How long a searcher that has ended is away.
-const AWAY: Ms = 3_000;
+/// How long a searcher is down after a crash.
+const DOWNTIME: Ms = 3_000;
 
-/// One way between members.
-const WAY: Ms = 8;
+/// The one-way latency between members.
+const LATENCY: Ms = 8;
 
-/// How soon a member that starts is told what another holds.
-const TOLD: Ms = 200;
+/// How long a member that starts waits for the records of another.
+const SYNC_DELAY: Ms = 200;
 
-/// How soon callers come back, as refusals tell them.
-const BACK: std::ops::Range<Ms> = 150..300;
+/// After how long callers retry, as rejections tell them to.
+const RETRY_AFTER: std::ops::Range<Ms> = 150..300;
 
-/// How long after the third end requests may still be sent on.
-const CONTACT: Ms = 4_000;
+/// How long after the third crash requests may still be forwarded.
+const PROPAGATION_LIMIT: Ms = 4_000;
 
-pub const REPEATS: u64 = 100;
+/// How often each request is sent.
+pub const ATTEMPTS: u64 = 100;
 
-/// What happens to the fleet besides.
+/// A fault that the fleet has besides the fatal request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    Nothing,
-    /// A third of all searchers ends.
-    Rack,
-    /// Every member starts anew, knowing nothing.
-    Power,
-    /// One member after another starts anew, and is told by another.
-    Rolling,
-    /// News doesn't cross between a third of the members and the others for 5 s.
-    Cut,
+pub enum Fault {
+    None,
+    /// A third of all searchers crashes.
+    RackCrash,
+    /// All members restart at once without any records.
+    PowerFailure,
+    /// The members restart one after another, and each receives the records of another.
+    RollingRestart,
+    /// Reports between a third of the members and the others are lost for 5 s.
+    Partition,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub members: usize,
     pub shards: usize,
-    /// The shards whose searchers the request ends.
+    /// The number of shards whose searchers crash on the fatal request.
     pub fatal_shards: usize,
     pub popular: u64,
-    pub trouble: Trouble,
+    pub fault: Fault,
     pub has_fatal: bool,
 }
 
-/// What was seen.
+/// The results of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// The searchers that ended under the fatal request.
-    pub ended: usize,
-    /// When the third of them did.
-    pub third: Option<Ms>,
-    /// The callers' attempts that members in touch sent on later than [`CONTACT`] after that.
-    pub sent_on: BTreeSet<u64>,
-    /// The popular requests that were condemned.
-    pub innocent: usize,
-    /// The popular requests that were answered.
+pub struct Observed {
+    /// How many searchers the fatal request crashed.
+    pub crashes: usize,
+    /// When the third of them crashed.
+    pub third_crash: Option<Ms>,
+    /// The attempts of the fatal request that were forwarded later than [`PROPAGATION_LIMIT`] after
+    /// that, by members which had been up for as long.
+    pub forwarded_late: BTreeSet<u64>,
+    /// How many attempts of popular requests were rejected as condemned.
+    pub false_positives: usize,
+    /// How many attempts of popular requests were answered.
     pub answered: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive {
+    Arrival {
         request: Fingerprint,
         attempt: u64,
     },
-    /// A request that was granted to a member, or not.
-    Granted {
+    /// The reply to a member that asked for the grant of a trial.
+    GrantReply {
         request: Fingerprint,
         attempt: u64,
         member: usize,
         granted: bool,
     },
-    /// Searchers have worked on a request since a moment.
-    Worked {
+    /// Searchers have answered a request that was sent at `since`, or crashed.
+    Completion {
         request: Fingerprint,
         attempt: u64,
         member: usize,
@@ -99,14 +101,14 @@
         trial: bool,
         since: Ms,
     },
-    News {
+    Report {
         to: usize,
         request: Fingerprint,
         from: usize,
     },
-    Trouble,
+    Fault,
     Restart(usize),
-    Inform(usize),
+    Sync(usize),
     Heal,
 }
 
@@ -115,57 +117,61 @@
     base: Instant,
     now: Ms,
     tables: Vec<Table>,
-    /// Whether each member has heard what the others hold since it started.
-    informed: Vec<bool>,
-    /// When each member last started, if it did.
-    started: Vec<Option<Ms>>,
-    /// When each searcher last ended.
-    ended: Vec<Option<Ms>>,
+    /// Whether each member has received the records of the others since it started.
+    synced: Vec<bool>,
+    /// When each member was last restarted.
+    restarted: Vec<Option<Ms>>,
+    /// When each searcher last crashed.
+    crashed: Vec<Option<Ms>>,
     gates: BTreeMap<u64, Gate>,
-    cut: bool,
+    partitioned: bool,
     events: BinaryHeap<Reverse<(Ms, u64, Event)>>,
-    serial: u64,
+    /// The number of events so far, by which simultaneous events are ordered.
+    sequence: u64,
     rng: StdRng,
-    seen: Seen,
+    observed: Observed,
 }
 
 impl World {
-    pub fn run(load: Load, seed: u64) -> Seen {
+    pub fn run(load: Load, seed: u64) -> Observed {
         let mut world = Self {
             load,
             base: Instant::now() + Duration::from_secs(1),
             now: 0,
             tables: (0..load.members).map(|_| Table::new(Settings::default())).collect(),
-            informed: vec![true; load.members],
-            started: vec![None; load.members],
-            ended: vec![None; load.shards * REPLICAS],
+            synced: vec![true; load.members],
+            restarted: vec![None; load.members],
+            crashed: vec![None; load.shards * REPLICAS],
             gates: BTreeMap::new(),
-            cut: false,
+            partitioned: false,
             events: BinaryHeap::new(),
-            serial: 0,
+            sequence: 0,
             rng: Seed(seed).generator("fatal"),
-            seen: Seen::default(),
+            observed: Observed::default(),
         };
         if load.has_fatal {
-            world.at(100, Event::Arrive { request: FATAL, attempt: 0 });
+            world.schedule(100, Event::Arrival { request: FATAL, attempt: 0 });
         }
         for request in 0..load.popular {
-            world.at(request, Event::Arrive { request: Fingerprint(100 + request), attempt: 0 });
+            world.schedule(
+                request,
+                Event::Arrival { request: Fingerprint(100 + request), attempt: 0 },
+            );
         }
-        // In the midst of the first attempts, and again while the verdict stands.
+        // During the first attempts, and again once the request is condemned.
         for at in [103, 700, 6_000] {
-            world.at(at, Event::Trouble);
+            world.schedule(at, Event::Fault);
         }
         while let Some(Reverse((at, _, event))) = world.events.pop() {
             world.now = at;
             world.step(event);
         }
-        world.seen
+        world.observed
     }
 
-    fn at(&mut self, at: Ms, event: Event) {
-        self.serial += 1;
-        self.events.push(Reverse((at, self.serial, event)));
+    fn schedule(&mut self, at: Ms, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
     fn instant(&self) -> Instant {
@@ -174,99 +180,98 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrive { request, attempt } => self.arrive(request, attempt),
-            Event::Granted { request, attempt, member, granted } => {
+            Event::Arrival { request, attempt } => self.arrive(request, attempt),
+            Event::GrantReply { request, attempt, member, granted } => {
                 if granted {
                     let shard = self.suspect_shard(member, request);
                     self.send(request, attempt, member, vec![shard], true);
                 }
-                self.come_back(request, attempt);
+                self.retry(request, attempt);
             }
-            Event::Worked { request, attempt, member, asked, trial, since } => {
-                self.worked((request, attempt), member, &asked, trial, since);
+            Event::Completion { request, attempt, member, asked, trial, since } => {
+                self.complete((request, attempt), member, &asked, trial, since);
             }
-            Event::News { to, request, from } => {
+            Event::Report { to, request, from } => {
                 if let Some(report) = self.tables[from].report(request, self.instant()) {
-                    self.hear(to, &report);
+                    self.merge(to, &report);
                 }
             }
-            Event::Trouble => self.trouble(),
+            Event::Fault => self.inject_fault(),
             Event::Restart(member) => self.restart(member),
-            Event::Inform(member) => self.inform(member),
+            Event::Sync(member) => self.sync(member),
             Event::Heal => {
-                self.cut = false;
+                self.partitioned = false;
                 for to in 0..self.load.members {
                     let from = self.rng.random_range(0..self.load.members);
-                    for report in self.tables[from].grave(self.instant()) {
+                    for report in self.tables[from].severe_reports(self.instant()) {
                         let request = report.fingerprint;
-                        self.at(self.now + 500, Event::News { to, request, from });
+                        self.schedule(self.now + 500, Event::Report { to, request, from });
                     }
                 }
             }
         }
     }
 
-    /// A caller's attempt comes to any member.
+    /// Handles a caller's attempt at a random member.
     fn arrive(&mut self, request: Fingerprint, attempt: u64) {
         let member = self.rng.random_range(0..self.load.members);
-        if !self.informed[member] {
-            // It is not ready yet, and says so.
-            self.come_back(request, attempt);
+        if !self.synced[member] {
+            // The member is not ready yet and rejects the request.
+            self.retry(request, attempt);
             return;
         }
         match self.tables[member].standing(request, self.instant()) {
             Standing::Trusted => {
                 let shards = (0..self.load.shards).collect();
                 self.send(request, attempt, member, shards, false);
-                self.come_back(request, attempt);
+                self.retry(request, attempt);
             }
             Standing::Suspect(_) => {
                 let owner = (0..self.load.members)
                     .max_by_key(|member| hash_pair(request.0, *member as u64))
                     .expect("there are members");
-                let reached = !self.cut || side(owner) == side(member);
                 let now = self.instant();
-                let granted = reached && self.tables[owner].grant(now, request);
-                let event = Event::Granted { request, attempt, member, granted };
-                self.at(self.now + 2 * WAY, event);
+                let granted =
+                    self.can_reach(owner, member) && self.tables[owner].grant(now, request);
+                let event = Event::GrantReply { request, attempt, member, granted };
+                self.schedule(self.now + 2 * LATENCY, event);
             }
             Standing::Condemned(_) => {
                 if request != FATAL {
-                    self.seen.innocent += 1;
+                    self.observed.false_positives += 1;
                 }
-                self.come_back(request, attempt);
+                self.retry(request, attempt);
             }
         }
     }
 
     fn restart(&mut self, member: usize) {
         self.tables[member] = Table::new(Settings::default());
-        self.started[member] = Some(self.now);
-        self.informed[member] = false;
-        self.at(self.now + TOLD, Event::Inform(member));
+        self.restarted[member] = Some(self.now);
+        self.synced[member] = false;
+        self.schedule(self.now + SYNC_DELAY, Event::Sync(member));
     }
 
-    /// A member that has started is told by one that knows, or finds that nobody does.
-    fn inform(&mut self, member: usize) {
-        let knows =
-            |other: &usize| self.informed[*other] && (!self.cut || side(*other) == side(member));
-        let knowing: Vec<usize> = (0..self.load.members).filter(knows).collect();
-        if let Some(other) = knowing.get(self.now as usize % knowing.len().max(1)).copied() {
-            for report in self.tables[other].grave(self.instant()) {
-                self.hear(member, &report);
+    /// Gives a restarted member the records of a reachable member that has them, if there is one.
+    fn sync(&mut self, member: usize) {
+        let can_sync = |other: &usize| self.synced[*other] && self.can_reach(*other, member);
+        let sources: Vec<usize> = (0..self.load.members).filter(can_sync).collect();
+        if let Some(other) = sources.get(self.now as usize % sources.len().max(1)).copied() {
+            for report in self.tables[other].severe_reports(self.instant()) {
+                self.merge(member, &report);
             }
         }
-        self.informed[member] = true;
+        self.synced[member] = true;
     }
 
-    fn come_back(&mut self, request: Fingerprint, attempt: u64) {
-        if attempt + 1 < REPEATS {
-            let at = self.now + self.rng.random_range(BACK);
-            self.at(at, Event::Arrive { request, attempt: attempt + 1 });
+    fn retry(&mut self, request: Fingerprint, attempt: u64) {
+        if attempt + 1 < ATTEMPTS {
+            let at = self.now + self.rng.random_range(RETRY_AFTER);
+            self.schedule(at, Event::Arrival { request, attempt: attempt + 1 });
         }
     }
 
-    /// Sends a request to one searcher of each of some shards, the living ones first.
+    /// Sends a request to one live searcher of each given shard that has one.
     fn send(
         &mut self,
         request: Fingerprint,
@@ -275,38 +280,41 @@
         shards: Vec<usize>,
         trial: bool,
     ) {
-        let asked: Vec<usize> = shards.into_iter().filter_map(|shard| self.living(shard)).collect();
-        let long_ago = |at: Ms| self.now > at + CONTACT;
-        // A member that has just started isn't in touch with the others yet.
-        let in_touch = self.started[member].is_none_or(long_ago);
-        let late = in_touch && self.seen.third.is_some_and(long_ago);
+        let asked: Vec<usize> =
+            shards.into_iter().filter_map(|shard| self.live_replica(shard)).collect();
+        let long_ago = |at: Ms| self.now > at + PROPAGATION_LIMIT;
+        // A member that was just restarted may not have received all reports yet.
+        let up_to_date = self.restarted[member].is_none_or(long_ago);
+        let late = up_to_date && self.observed.third_crash.is_some_and(long_ago);
         if request == FATAL && !asked.is_empty() && late {
-            self.seen.sent_on.insert(attempt);
+            self.observed.forwarded_late.insert(attempt);
         }
-        let event = Event::Worked { request, attempt, member, asked, trial, since: self.now };
-        self.at(self.now + WORK, event);
+        let event = Event::Completion { request, attempt, member, asked, trial, since: self.now };
+        self.schedule(self.now + SERVICE_TIME, event);
     }
 
-    fn living(&mut self, shard: usize) -> Option<usize> {
+    /// Returns a random live replica of a shard.
+    fn live_replica(&mut self, shard: usize) -> Option<usize> {
         let replicas = shard * REPLICAS..(shard + 1) * REPLICAS;
-        let alive = |searcher: &usize| self.ended[*searcher].is_none_or(|at| self.now >= at + AWAY);
+        let alive =
+            |searcher: &usize| self.crashed[*searcher].is_none_or(|at| self.now >= at + DOWNTIME);
         let alive: Vec<usize> = replicas.filter(alive).collect();
         (!alive.is_empty()).then(|| alive[self.rng.random_range(0..alive.len())])
     }
 
-    /// The shard of a trial: one that was harmed and has a searcher left.
+    /// Returns the shard for a trial: an affected one, with a live replica if there is any such.
     fn suspect_shard(&mut self, member: usize, request: Fingerprint) -> usize {
         let standing = self.tables[member].standing(request, self.instant());
         let Standing::Suspect(services) = standing else { return 0 };
         let shards: Vec<usize> =
             services.iter().map(|name| name.parse().expect("shards are numbered")).collect();
-        let can = |shard: &usize| self.living(*shard).is_some();
-        let left: Vec<usize> = shards.iter().copied().filter(can).collect();
-        *left.first().unwrap_or(&shards[0])
+        let is_live = |shard: &usize| self.live_replica(*shard).is_some();
+        let live: Vec<usize> = shards.iter().copied().filter(is_live).collect();
+        *live.first().unwrap_or(&shards[0])
     }
 
-    /// Searchers have answered, or ended.
-    fn worked(
+    /// Handles the answers or crashes of searchers.
+    fn complete(
         &mut self,
         (request, attempt): (Fingerprint, u64),
         member: usize,
@@ -317,18 +325,18 @@
         if request == FATAL {
             for searcher in asked {
                 if searcher / REPLICAS < self.load.fatal_shards {
-                    self.end(*searcher);
-                    self.seen.ended += 1;
-                    if self.seen.ended == 3 {
-                        self.seen.third = Some(self.now);
+                    self.crash(*searcher);
+                    self.observed.crashes += 1;
+                    if self.observed.crashes == 3 {
+                        self.observed.third_crash = Some(self.now);
                     }
                 }
             }
         }
-        let gone = |searcher: &&usize| self.ended[**searcher].is_some_and(|at| at > since);
-        let gone: Vec<usize> = asked.iter().filter(gone).copied().collect();
+        let has_crashed = |searcher: &&usize| self.crashed[**searcher].is_some_and(|at| at > since);
+        let crashed: Vec<usize> = asked.iter().filter(has_crashed).copied().collect();
         let key = hash_pair(request.0, attempt);
-        if gone.is_empty() {
+        if crashed.is_empty() {
             if !asked.is_empty() {
                 self.answered(request, member, asked);
             }
@@ -338,11 +346,11 @@
             }
             return;
         }
-        let id = if trial { hash_pair(key, gone[0] as u64) } else { key };
-        for searcher in &gone {
-            // The incarnation that ended.
-            let end = self.ended[*searcher].unwrap_or_default();
-            let name = if trial { hash_pair(*searcher as u64, end) } else { 0 };
+        let id = if trial { hash_pair(key, crashed[0] as u64) } else { key };
+        for searcher in &crashed {
+            // Identifies the incarnation that crashed.
+            let at = self.crashed[*searcher].unwrap_or_default();
+            let name = if trial { hash_pair(*searcher as u64, at) } else { 0 };
             let strike = Strike { id, trial, searcher: name, cleared: false };
             self.accuse(member, request, strike, searcher / REPLICAS);
         }
@@ -352,74 +360,79 @@
             return;
         }
         gate.hold();
-        // Each shard whose searcher ended wants another one; one of them may.
-        let may = gone.iter().filter(|_| gate.pass() == Pass::Trial).count();
-        assert_eq!(may, 1, "one further attempt at a time");
-        let harmed: Vec<usize> = gone.iter().map(|searcher| searcher / REPLICAS).collect();
-        let left = harmed.iter().copied().find(|shard| self.living(*shard).is_some());
-        self.send(request, attempt, member, left.into_iter().collect(), true);
+        // Every shard whose searcher crashed requests a retry; the gate admits one of them.
+        let admitted = crashed.iter().filter(|_| gate.pass() == Pass::Trial).count();
+        assert_eq!(admitted, 1, "one further attempt at a time");
+        let affected: Vec<usize> = crashed.iter().map(|searcher| searcher / REPLICAS).collect();
+        let live = affected.iter().copied().find(|shard| self.live_replica(*shard).is_some());
+        self.send(request, attempt, member, live.into_iter().collect(), true);
     }
 
     fn answered(&mut self, request: Fingerprint, member: usize, asked: &[usize]) {
         let services: Vec<Name> = asked.iter().map(|searcher| shard(searcher / REPLICAS)).collect();
         if request != FATAL {
-            self.seen.answered += 1;
+            self.observed.answered += 1;
         }
         if self.tables[member].acquit(request, &services) {
-            self.spread(member, request);
+            self.broadcast(member, request);
         }
     }
 
     fn accuse(&mut self, member: usize, request: Fingerprint, strike: Strike, of: usize) {
         let now = self.instant();
         if self.tables[member].accuse(now, request, strike, &shard(of)) {
-            self.spread(member, request);
+            self.broadcast(member, request);
         }
     }
 
-    /// Tells all others within the time that the membership takes for a fleet of this size.
-    fn spread(&mut self, from: usize, request: Fingerprint) {
+    /// Reports a request to all other members, within the time that the membership takes in a fleet
+    /// of this size.
+    fn broadcast(&mut self, from: usize, request: Fingerprint) {
         let longest = if self.load.members > 100 { 200 } else { 50 };
         for to in (0..self.load.members).filter(|to| *to != from) {
-            if self.cut && side(from) != side(to) {
+            if !self.can_reach(from, to) {
                 continue;
             }
             let at = self.now + self.rng.random_range(1..=longest);
-            self.at(at, Event::News { to, request, from });
+            self.schedule(at, Event::Report { to, request, from });
         }
     }
 
-    fn hear(&mut self, to: usize, report: &Report) {
+    fn merge(&mut self, to: usize, report: &Report) {
         let now = self.instant();
         self.tables[to].merge(now, report);
     }
 
-    fn end(&mut self, searcher: usize) {
-        self.ended[searcher] = Some(self.now);
+    fn can_reach(&self, one: usize, other: usize) -> bool {
+        !self.partitioned || side(one) == side(other)
     }
 
-    fn trouble(&mut self) {
-        match self.load.trouble {
-            Trouble::Nothing => {}
-            Trouble::Rack => {
-                for searcher in (0..self.ended.len()).filter(|searcher| searcher % 3 == 0) {
-                    self.end(searcher);
+    fn crash(&mut self, searcher: usize) {
+        self.crashed[searcher] = Some(self.now);
+    }
+
+    fn inject_fault(&mut self) {
+        match self.load.fault {
+            Fault::None => {}
+            Fault::RackCrash => {
+                for searcher in (0..self.crashed.len()).filter(|searcher| searcher % 3 == 0) {
+                    self.crash(searcher);
                 }
             }
-            Trouble::Power => {
+            Fault::PowerFailure => {
                 for member in 0..self.load.members {
                     self.restart(member);
                 }
             }
-            Trouble::Rolling => {
+            Fault::RollingRestart => {
                 for member in 0..self.load.members {
                     let at = self.now + 5_000 * member as Ms / self.load.members as Ms;
-                    self.at(at, Event::Restart(member));
+                    self.schedule(at, Event::Restart(member));
                 }
             }
-            Trouble::Cut => {
-                self.cut = true;
-                self.at(self.now + 5_000, Event::Heal);
+            Fault::Partition => {
+                self.partitioned = true;
+                self.schedule(self.now + 5_000, Event::Heal);
             }
         }
     }
@@ -429,7 +442,7 @@
     Name::from(number.to_string())
 }
 
-/// On which side of a cut a member is.
+/// Returns on which side of a partition a member is.
 fn side(member: usize) -> bool {
     member.is_multiple_of(3)
 }
--- a/crates/quarantine/tests/gate.rs
+++ b/crates/quarantine/tests/gate.rs
@@ -1,15 +1,15 @@
-//! Further attempts of one caller's request, once a searcher has ended under it.
+//! Further attempts of a request after a searcher crashed while running it.
 
 use bergamot_quarantine::{Gate, Outcome, Pass};
 
 #[test]
-fn nothing_is_held_back_while_no_searcher_has_ended() {
+fn attempts_are_unrestricted_while_no_searcher_has_crashed() {
     let mut gate = Gate::default();
     assert_eq!((gate.pass(), gate.pass(), gate.is_free()), (Pass::Free, Pass::Free, true));
 }
 
 #[test]
-fn after_an_end_one_attempt_at_a_time_shows_whether_the_request_does_harm() {
+fn after_a_crash_one_trial_is_in_flight_at_a_time() {
     let mut gate = Gate::default();
     gate.hold();
     assert_eq!((gate.pass(), gate.pass(), gate.is_free()), (Pass::Trial, Pass::Wait, false));
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn an_answer_lets_all_further_attempts_pass() {
+fn an_answered_trial_lifts_the_restriction() {
     let mut gate = Gate::default();
     gate.hold();
     assert_eq!(gate.pass(), Pass::Trial);
     gate.settle(Outcome::Answered);
-    // Ends of before that are heard of late don't count any more.
+    // Late reports of earlier crashes are ignored.
     gate.hold();
     assert_eq!((gate.pass(), gate.is_free()), (Pass::Free, true));
 }
 
 #[test]
-fn a_second_end_stops_the_request() {
+fn a_crash_during_the_trial_denies_further_attempts() {
     let mut gate = Gate::default();
     gate.hold();
     assert_eq!(gate.pass(), Pass::Trial);
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -1,4 +1,4 @@
-//! What is remembered of a request, and how members come to agree on it.
+//! The records of requests, and how they converge across members.
 
 use std::time::{Duration, Instant};
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn requests_are_told_apart_by_all_that_is_asked_for() {
+fn fingerprints_depend_on_method_uri_and_body() {
     let same = Fingerprint::of("GET", "/a?b", b"c");
     assert_eq!(same, Fingerprint::of("GET", "/a?b", b"c"));
     for (method, uri, body) in
@@ -39,9 +39,10 @@
     }
 }
 
-/// A rack that crashes takes along what was in flight there, popular requests many times.
+/// Guards against condemning popular requests when a rack fails: many of their fan-outs are in
+/// flight there.
 #[test]
-fn ends_under_requests_that_were_with_many_never_condemn() {
+fn crashes_during_fan_outs_never_condemn() {
     let (mut table, now) = (table(), Instant::now());
     for id in 0..100 {
         table.accuse(now, REQUEST, fan_out(id), &service());
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn ends_under_two_trials_condemn() {
+fn crashes_during_two_trials_condemn() {
     let (mut table, now) = (table(), Instant::now());
     table.accuse(now, REQUEST, fan_out(1), &service());
     table.accuse(now, REQUEST, trial(2), &service());
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn an_answer_clears_and_later_ends_count_anew() {
+fn an_answer_clears_strikes_and_later_crashes_count_from_zero() {
     let (mut table, now) = (table(), Instant::now());
     for strike in [fan_out(1), trial(2), trial(3)] {
         table.accuse(now, REQUEST, strike, &service());
@@ -72,9 +73,9 @@
     assert_eq!(table.standing(REQUEST, now), Standing::Suspect(vec![service()]));
 }
 
-/// A request may harm the searchers of one shard and not those of another.
+/// A request may crash the searchers of one shard and not those of another.
 #[test]
-fn the_answer_of_a_service_that_was_not_harmed_clears_nothing() {
+fn an_answer_of_an_unaffected_service_clears_nothing() {
     let (mut table, now) = (table(), Instant::now());
     table.accuse(now, REQUEST, fan_out(1), &service());
     assert!(!table.acquit(REQUEST, &[Name::from("b")]));
@@ -84,16 +85,16 @@
 #[test]
 fn one_trial_is_granted_at_a_time() {
     let (mut table, now) = (table(), Instant::now());
-    // Whoever asks may know of a strike that this member has not heard of.
+    // The member that asks may know of a strike that has not been reported here yet.
     assert!(table.grant(now, REQUEST) && !table.grant(now, REQUEST));
     table.accuse(now, REQUEST, trial(1), &service());
     assert!(table.grant(now, REQUEST) && !table.grant(now, REQUEST));
-    // Nothing is heard of that one.
-    assert!(table.grant(now + Settings::default().trial, REQUEST));
+    // The result of that one never arrives.
+    assert!(table.grant(now + Settings::default().trial_timeout, REQUEST));
 }
 
 #[test]
-fn news_of_an_earlier_end_leaves_the_trial_under_way() {
+fn a_report_of_an_earlier_crash_does_not_end_the_trial_in_flight() {
     let (mut here, mut there, now) = (table(), table(), Instant::now());
     there.accuse(now, REQUEST, fan_out(1), &service());
     assert!(here.grant(now, REQUEST));
@@ -102,8 +103,8 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_those_who_were_cleared_give_way_first() {
-    let settings = Settings { most: 3, ..Settings::default() };
+fn records_are_bounded_and_those_with_the_fewest_strikes_are_evicted_first() {
+    let settings = Settings { max_records: 3, ..Settings::default() };
     let (mut table, now) = (Table::new(settings), Instant::now());
     for strike in [fan_out(1), trial(2), trial(3)] {
         table.accuse(now, REQUEST, strike, &service());
@@ -117,19 +118,20 @@
 }
 
 #[test]
-fn what_is_too_old_is_forgotten_and_not_taken_in_again() {
+fn expired_records_are_removed_and_not_merged_again() {
     let (mut table, now) = (table(), Instant::now());
     table.accuse(now, REQUEST, fan_out(1), &service());
     let report = table.report(REQUEST, now).expect("it is known");
-    let kept = Settings::default().kept;
-    assert!(!table.expire(now + kept / 2) && table.expire(now + kept) && table.is_empty());
-    assert!(!table.merge(now + kept, &Report { age: kept, ..report.clone() }));
-    // An age that no member can have lived to see.
+    let retention = Settings::default().retention;
+    assert!(!table.expire(now + retention / 2));
+    assert!(table.expire(now + retention) && table.is_empty());
+    assert!(!table.merge(now + retention, &Report { age: retention, ..report.clone() }));
+    // An age that reaches back further than the clock.
     assert!(!table.merge(now, &Report { age: Duration::MAX, ..report }));
     assert!(table.is_empty());
 }
 
-/// What another member can report of a few requests, forged reports included.
+/// Reports that another member can send about a few requests, forged ones included.
 fn reports() -> impl Strategy<Value = Vec<Report>> {
     let strike = (0..4_u64, any::<bool>(), any::<bool>()).prop_map(|(id, trial, cleared)| Strike {
         id,
@@ -148,30 +150,30 @@
     prop::collection::vec(report, 0..12)
 }
 
-fn tell<'a>(table: &mut Table, reports: impl IntoIterator<Item = &'a Report>, now: Instant) {
+fn merge_all<'a>(table: &mut Table, reports: impl IntoIterator<Item = &'a Report>, now: Instant) {
     for report in reports {
         table.merge(now, report);
     }
 }
 
 proptest! {
-    /// In whatever order reports arrive, and however often, members agree in the end.
+    /// Members converge whatever the order of reports and whether they are duplicated.
     #[test]
-    fn members_that_heard_the_same_agree(
-        (said, shuffled) in reports().prop_flat_map(|said| (Just(said.clone()), Just(said).prop_shuffle()))
+    fn members_with_the_same_reports_converge(
+        (sent, shuffled) in reports().prop_flat_map(|sent| (Just(sent.clone()), Just(sent).prop_shuffle()))
     ) {
         let now = Instant::now() + Duration::from_secs(1);
         let (mut one, mut other) = (table(), table());
-        tell(&mut one, &said, now);
-        tell(&mut other, shuffled.iter().chain(&said), now);
+        merge_all(&mut one, &sent, now);
+        merge_all(&mut other, shuffled.iter().chain(&sent), now);
         prop_assert_eq!(one.hash(), other.hash());
-        // Whoever tells all that it holds brings any other member to the same.
+        // The reports of one member bring any other to the same state.
         let mut third = table();
-        tell(&mut third, &one.reports(now), now);
+        merge_all(&mut third, &one.reports(now), now);
         prop_assert_eq!(one.hash(), third.hash());
     }
 
-    /// However many strikes are reported, few are kept, and no trial that stands gives way.
+    /// The strikes per request are bounded, and uncleared strikes of trials are not evicted.
     #[test]
     fn strikes_of_one_request_are_bounded(ids in prop::collection::btree_set(10..1000_u64, 0..64)) {
         let (mut table, now) = (table(), Instant::now());
