--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -18,7 +18,9 @@
 };
 use bergamot_members::{Endpoint, Record, Role, State, ranked};
 use bergamot_net::{Body, Fault, listen, serve, text};
-use bergamot_peers::{Caller, Peers, Place, Seat, choose, serving};
+use bergamot_peers::{
+    Caller, Candidate, InstanceLocation, Peers, select_instances, select_serving,
+};
 use bergamot_relay::{Dialect, Helper, Relay};
 use bergamot_wire::Channels;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -103,7 +105,7 @@
             roster: Box::new(move || asking.roster()),
             ask: member::asking(&links, port),
             fetch: member::fetching(&links, port),
-            ahead: Box::new(move |version| comparing.peers.ahead(version)),
+            ahead: Box::new(move |version| comparing.peers.member_ahead_of(version)),
             record: Box::new(member::looking_up(&links, port)),
         };
         let join = if inner.peers.seeds().contains(&inner.relay.settings().address) {
@@ -153,7 +155,7 @@
         let (linger, end) = (Instant::now() + settings.linger, Instant::now() + settings.stop);
         log::info!("front: event=leaving linger_ms={}", settings.linger.as_millis());
         self.inner.leaving.store(true, Ordering::Relaxed);
-        self.inner.peers.farewell();
+        self.inner.peers.announce_leaving();
         sleep_until(linger).await;
         self.close.cancel();
         if tokio::time::timeout_at(end, self.callers).await.is_err() {
@@ -170,7 +172,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        let informed = self.relay.quarantine().is_informed();
+        let informed = self.relay.quarantine().is_synced();
         !self.is_leaving() && !self.tasks.has_failed() && self.relay.version() > 0 && informed
     }
 
@@ -214,7 +216,8 @@
             return text(StatusCode::NOT_FOUND, "no such question");
         };
         let caller = Caller { zone: &origin.zone, region: &origin.region };
-        let addresses = choose(caller, &self.ready_instances(), &self.relay.coverage().regions);
+        let addresses =
+            select_instances(caller, &self.ready_instances(), &self.relay.coverage().regions);
         if addresses.is_empty() {
             return text(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
         }
@@ -231,7 +234,7 @@
         }
         let settings = self.relay.settings();
         let (own, region) = (settings.address, self.region(&settings.zone));
-        let (fresh, fleet) = (self.peers.fresh(), self.peers.size());
+        let (fresh, fleet) = (self.peers.up_to_date_members(), self.peers.size());
         self.peers.with_view(|view| {
             let mut regions: Vec<_> =
                 ranked(view, |record| self.region(&record.zone)).into_iter().collect();
@@ -267,7 +270,7 @@
             let endpoint = Endpoint { ip, role: Role::Entry };
             self.peers.with_view(|view| view.takes_work(endpoint))
         };
-        let (seeds, fresh) = (self.peers.seeds(), self.peers.fresh());
+        let (seeds, fresh) = (self.peers.seeds(), self.peers.up_to_date_members());
         Roster::early(own, &seeds, is_there, fresh, self.peers.size())
     }
 
@@ -307,17 +310,17 @@
         let best = coverage.zones.values().copied().max().unwrap_or(0);
         // A zone with searchers of most services; some services have one in every zone.
         let beside = |zone: &Name| count(zone) * 2 > best;
-        let seat = |record: &Record| Seat {
+        let seat = |record: &Record| Candidate {
             ip: record.endpoint.ip,
             region: self.region(&record.zone),
-            beside: beside(&record.zone),
+            in_searcher_zone: beside(&record.zone),
             weight: record.weight,
         };
-        let seats: Vec<Seat> = self.peers.with_view(|view| {
+        let seats: Vec<Candidate> = self.peers.with_view(|view| {
             view.iter().filter(|record| record.state.takes_work()).map(seat).collect()
         });
         let connections = coverage.fewest_connections.unwrap_or(usize::MAX);
-        let chosen = serving(&seats, connections, &settings.policy.seats);
+        let chosen = select_serving(&seats, connections, &settings.policy.seats);
         let serves = chosen.contains(&settings.address);
         let members = if serves { chosen.len() } else { self.peers.size() };
         *self.serving.lock().unwrap_or_else(PoisonError::into_inner) = chosen;
@@ -344,7 +347,7 @@
     ///
     /// A member that is alive is taken to be ready: one that has no declaration yet gets it
     /// before an address answer could reach a caller.
-    fn ready_instances(&self) -> Vec<Place<SocketAddr>> {
+    fn ready_instances(&self) -> Vec<InstanceLocation<SocketAddr>> {
         if !self.peers.is_settled() {
             // What callers were told before is better than the few that are known here.
             return Vec::new();
@@ -354,7 +357,7 @@
         let place = |record: &Record| {
             let instance = SocketAddr::from((record.endpoint.ip, port));
             let (zone, region) = (Name::clone(&record.zone), self.region(&record.zone));
-            Place { instance, zone, region }
+            InstanceLocation { instance, zone, region }
         };
         let serving = self.serving();
         let may_serve = |record: &&Record| {
@@ -413,7 +416,7 @@
     let mut ticks = 0_u32;
     while !stop.is_cancelled() {
         inner.seat();
-        inner.peers.set_news(inner.relay.version(), inner.feed.is_fresh());
+        inner.peers.set_revision(inner.relay.version(), inner.feed.is_fresh());
         inner.relay.set_news_sent(inner.feed.sent());
         inner.relay.set_store_era(inner.feed.lock().at().era);
         inner.log_changes();
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -53,7 +53,7 @@
     }
 
     async fn grant(self, _context: Context, fingerprint: Fingerprint) -> bool {
-        self.relay.quarantine().grant(Instant::now(), fingerprint)
+        self.relay.quarantine().grant_trial(Instant::now(), fingerprint)
     }
 
     async fn news(self, _context: Context, query: NewsQuery) -> News {
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -10,7 +10,7 @@
 use bergamot_members::{Role, State};
 use bergamot_net::{Fault, listen};
 use bergamot_node::Node;
-use bergamot_quarantine::Door;
+use bergamot_quarantine::SharedGate;
 use bergamot_query::Reason;
 use bergamot_upstream::protocol::Write;
 use bergamot_upstream::{Call, Client, Effect};
@@ -237,7 +237,7 @@
         let row = document.services.get(query.service).ok_or(Refusal::NotHome)?;
         let workspace = &document.workspaces[row.workspace].name;
         let fingerprint = fingerprint(&format!("{workspace}/{}", row.name), &shape);
-        let door = Door::default();
+        let door = SharedGate::default();
         let job = Job { id, pin, shape, fingerprint, door, deadline, holding, tail };
         Ok(self.search_shards(&job, &shards).await)
     }
--- a/crates/gather/src/shard.rs
+++ b/crates/gather/src/shard.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::{Budget, Deadline, Name, Searcher, Shard};
-use bergamot_quarantine::{Door, Fingerprint, Outcome, Pass};
+use bergamot_quarantine::{Fingerprint, Permit, SharedGate, TrialOutcome};
 use bergamot_query::{Partial, Pin, Reason, Shape};
 use bergamot_upstream::protocol::{Found, Search};
 use bergamot_upstream::{Call, Candidate, Client, Fault, Next, Race, rank};
@@ -32,7 +32,7 @@
     /// What is asked for, whoever asks.
     pub(crate) fingerprint: Fingerprint,
     /// Where further attempts wait once a searcher has ended under the query.
-    pub(crate) door: Door,
+    pub(crate) door: SharedGate,
     pub(crate) deadline: Deadline,
     pub(crate) holding: Arc<Holding>,
     pub(crate) tail: Arc<Mutex<Tail>>,
@@ -78,7 +78,11 @@
     let mut attempts =
         Attempts { inner, job, shard, running, latest, count: 0, alone, trial: false };
     let result = drive(&mut race, &mut attempts).await;
-    attempts.settle(if result.is_ok() { Outcome::Answered } else { Outcome::Open });
+    attempts.settle(if result.is_ok() {
+        TrialOutcome::Answered
+    } else {
+        TrialOutcome::Inconclusive
+    });
     inner.meter.attempts.inc_by(u64::from(attempts.count));
     Ended { result, attempts: attempts.count }
 }
@@ -132,7 +136,7 @@
             () = tokio::time::sleep_until(hedge_at.into()), if hedges > 0 => {
                 hedges -= 1;
                 hedge_at = Instant::now() + delay;
-                if !job.door.is_free() {
+                if !job.door.is_unrestricted() {
                     continue;
                 }
                 let next = race.hedge(&mut lock(&job.tail).hedges);
@@ -171,9 +175,9 @@
             ended = self.inner.inquire(self.job, self.shard, client, trial).await;
         }
         if ended {
-            self.job.door.hold();
+            self.job.door.record_crash();
         }
-        self.settle(if ended { Outcome::Ended } else { Outcome::Open });
+        self.settle(if ended { TrialOutcome::Crashed } else { TrialOutcome::Inconclusive });
     }
 
     /// Waits, once a searcher has ended under the query, until another may be asked; tells whether
@@ -182,20 +186,20 @@
         if self.alone {
             return false;
         }
-        match self.job.door.pass(self.job.deadline.instant()).await {
-            Pass::Free => true,
-            Pass::Trial => {
+        match self.job.door.acquire(self.job.deadline.instant()).await {
+            Permit::Unrestricted => true,
+            Permit::Trial => {
                 self.trial = true;
                 true
             }
-            Pass::Denied | Pass::Wait => false,
+            Permit::Denied | Permit::Wait => false,
         }
     }
 
     /// Tells the other shards how the trial ended, if it was made here.
-    fn settle(&mut self, outcome: Outcome) {
+    fn settle(&mut self, outcome: TrialOutcome) {
         if std::mem::take(&mut self.trial) {
-            self.job.door.settle(outcome);
+            self.job.door.finish_trial(outcome);
         }
     }
 
@@ -265,7 +269,7 @@
 
 impl Drop for Attempts<'_> {
     fn drop(&mut self) {
-        self.settle(Outcome::Open);
+        self.settle(TrialOutcome::Inconclusive);
     }
 }
 
--- a/crates/gather/src/suspects.rs
+++ b/crates/gather/src/suspects.rs
@@ -41,12 +41,12 @@
         let (address, run) = (client.address().to_string(), client.health().run().cloned());
         let run = run.unwrap_or_else(|| Name::from(""));
         let strike = if trial {
-            Strike::alone(job.id.as_bytes(), &format!("{address} {run}"))
+            Strike::from_trial(job.id.as_bytes(), &format!("{address} {run}"))
         } else {
-            Strike::together(job.id.as_bytes())
+            Strike::from_fan_out(job.id.as_bytes())
         };
         let (now, quarantine) = (Instant::now(), self.node.quarantine());
-        quarantine.accuse(now, job.fingerprint, strike, &name(job, shard));
+        quarantine.record_strike(now, job.fingerprint, strike, &name(job, shard));
         log::warn!(
             "gather: Searcher {address} has ended under query {} (fingerprint {}, trial {trial}).",
             job.id,
@@ -67,10 +67,10 @@
             Standing::Suspect(harmed) => self.try_out(job, shards, &harmed).await,
             Standing::Condemned(_) => shards.iter().map(|_| withheld()).collect(),
         };
-        if quarantine.is_used() {
+        if quarantine.has_records() {
             let answered = shards.iter().zip(&ended).filter(|(_, ended)| ended.result.is_ok());
             let answered: Vec<Name> = answered.map(|(shard, _)| name(job, *shard)).collect();
-            if quarantine.acquit(job.fingerprint, &answered) {
+            if quarantine.record_answer(job.fingerprint, &answered) {
                 log::info!("gather: Query {} was answered and is cleared.", job.id);
             }
         }
@@ -81,7 +81,7 @@
     async fn try_out(&self, job: &Job, shards: &[Shard], harmed: &[Name]) -> Vec<Ended> {
         let suspect = |shard: &Shard| harmed.contains(&name(job, *shard));
         let first = shards.iter().position(suspect).unwrap_or(0);
-        let granted = self.node.quarantine().grant(Instant::now(), job.fingerprint);
+        let granted = self.node.quarantine().grant_trial(Instant::now(), job.fingerprint);
         if shards.is_empty() || !granted {
             return shards.iter().map(|_| withheld()).collect();
         }
--- a/crates/members/src/suspicions.rs
+++ b/crates/members/src/suspicions.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bergamot_quarantine::{Fingerprint, Shared};
+use bergamot_quarantine::{Fingerprint, Quarantine};
 
 use crate::membership::{Membership, Outgoing};
 use crate::message::{Datagram, Digest};
@@ -29,7 +29,7 @@
 /// The exchange of suspicions with the other members.
 #[derive(Debug)]
 pub struct Suspicions {
-    quarantine: Arc<Shared>,
+    quarantine: Arc<Quarantine>,
     /// Whether another member was heard of.
     heard: bool,
     /// When a member was last told what it may lack.
@@ -40,7 +40,7 @@
 
 impl Suspicions {
     /// Makes the exchange of what is held in a quarantine, of a member that has just started.
-    pub fn new(quarantine: Arc<Shared>) -> Self {
+    pub fn new(quarantine: Arc<Quarantine>) -> Self {
         Self { quarantine, heard: false, told: None, next: 0 }
     }
 
@@ -51,7 +51,7 @@
 
     /// Spreads what this member has found out.
     pub fn spread(&self, now: Instant, membership: &mut Membership) {
-        for report in self.quarantine.take_news(now) {
+        for report in self.quarantine.take_pending_reports(now) {
             membership.spread(now, Rumour::Suspicion(report));
         }
     }
@@ -74,8 +74,8 @@
     /// Notes whether whoever could tell has told: the view is whole, or it took long enough.
     pub fn settle(&self, now: Instant, membership: &Membership) {
         let told = membership.is_settled(now) || membership.age(now) >= WORD;
-        if told && !self.quarantine.is_informed() {
-            self.quarantine.set_informed(true);
+        if told && !self.quarantine.is_synced() {
+            self.quarantine.set_synced(true);
         }
     }
 
@@ -91,10 +91,10 @@
         let hash = self.hash();
         let agreed = datagram.digest.fresh && datagram.digest.suspicions == hash;
         if agreed {
-            self.quarantine.set_informed(true);
+            self.quarantine.set_synced(true);
         } else if !self.heard && membership.age(now) < WORD {
             // Somebody is there who may hold more.
-            self.quarantine.set_informed(false);
+            self.quarantine.set_synced(false);
         }
         self.heard = true;
         let recently = self.told.is_some_and(|told| now.saturating_duration_since(told) < AGAIN);
@@ -102,7 +102,7 @@
             return Vec::new();
         }
         self.told = Some(now);
-        let mut reports = self.quarantine.grave(now);
+        let mut reports = self.quarantine.severe_reports(now);
         reports.sort_by_key(|report| report.fingerprint);
         let begin = self.next % reports.len().max(1);
         reports.rotate_left(begin);
--- a/crates/members/tests/suspicions.rs
+++ b/crates/members/tests/suspicions.rs
@@ -8,7 +8,7 @@
 use bergamot_members::{
     Datagram, Digest, Endpoint, Kind, Membership, Record, Role, State, Suspicions, Timing,
 };
-use bergamot_quarantine::Shared;
+use bergamot_quarantine::Quarantine;
 
 const TIMING: Timing = Timing {
     probe: Duration::from_millis(300),
@@ -27,8 +27,8 @@
     }
 }
 
-fn start(now: Instant) -> (Arc<Shared>, Suspicions, Membership) {
-    let quarantine = Arc::<Shared>::default();
+fn start(now: Instant) -> (Arc<Quarantine>, Suspicions, Membership) {
+    let quarantine = Arc::<Quarantine>::default();
     let membership =
         Membership::new(now, TIMING, record(1), Vec::new(), Seed(1).generator("member"));
     (Arc::clone(&quarantine), Suspicions::new(quarantine), membership)
@@ -46,7 +46,7 @@
     let now = Instant::now();
     let (quarantine, suspicions, membership) = start(now);
     suspicions.settle(now, &membership);
-    assert!(quarantine.is_informed());
+    assert!(quarantine.is_synced());
 }
 
 #[test]
@@ -54,9 +54,9 @@
     let now = Instant::now();
     let (quarantine, mut suspicions, membership) = start(now);
     suspicions.inform(now, &membership, &datagram(false), Digest::default());
-    assert!(!quarantine.is_informed());
+    assert!(!quarantine.is_synced());
     suspicions.inform(now, &membership, &datagram(true), Digest::default());
-    assert!(quarantine.is_informed());
+    assert!(quarantine.is_synced());
 }
 
 /// All have started together, and nobody can tell.
@@ -66,7 +66,7 @@
     let (quarantine, mut suspicions, membership) = start(now);
     suspicions.inform(now, &membership, &datagram(false), Digest::default());
     suspicions.settle(now + Duration::from_millis(200), &membership);
-    assert!(!quarantine.is_informed());
+    assert!(!quarantine.is_synced());
     suspicions.settle(now + Duration::from_millis(400), &membership);
-    assert!(quarantine.is_informed());
+    assert!(quarantine.is_synced());
 }
--- a/crates/model/src/fleet/net.rs
+++ b/crates/model/src/fleet/net.rs
@@ -10,7 +10,7 @@
 use bergamot_members::{
     Datagram, Digest, Endpoint, Membership, Outgoing, Record, Role, State, Suspicions, Timing, View,
 };
-use bergamot_quarantine::{Fingerprint, Shared as Quarantine, Standing, Strike};
+use bergamot_quarantine::{Fingerprint, Quarantine, Standing, Strike};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
@@ -196,7 +196,7 @@
         let Some(member) = member else { return };
         for id in 1..=3 {
             let strike = Strike { id, trial: true, searcher: id, cleared: false };
-            quarantine.accuse(now, FATAL, strike, &Name::from("shard"));
+            quarantine.record_strike(now, FATAL, strike, &Name::from("shard"));
         }
         suspicions.spread(now, member);
         self.set_timer(number);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -14,7 +14,7 @@
     View,
 };
 use bergamot_net::{Fault, listen};
-use bergamot_quarantine::Shared as Quarantine;
+use bergamot_quarantine::Quarantine;
 use prometheus::Registry;
 use rand::RngExt;
 use rand::rngs::StdRng;
--- a/crates/peers/src/directory.rs
+++ b/crates/peers/src/directory.rs
@@ -20,7 +20,7 @@
 
 /// The location of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place<T> {
+pub struct InstanceLocation<T> {
     /// The instance.
     pub instance: T,
     /// Its availability zone.
@@ -41,24 +41,28 @@
 /// Selects instances for a caller from those that are ready, the closest first.
 ///
 /// `covered` is the number of services of which each region has a searcher.
-pub fn choose<T: Clone>(
+pub fn select_instances<T: Clone>(
     caller: Caller<'_>,
-    ready: &[Place<T>],
+    ready: &[InstanceLocation<T>],
     covered: &BTreeMap<Name, usize>,
 ) -> Vec<T> {
-    let best = ready.iter().map(|place| coverage(covered, &place.region)).max().unwrap_or(0);
+    let best = ready.iter().map(|location| coverage(covered, &location.region)).max().unwrap_or(0);
     let required = (best as f64 * MIN_RELATIVE_COVERAGE).ceil() as usize;
-    let is_covered = |place: &&Place<T>| coverage(covered, &place.region) >= required;
-    let is_local = |place: &&Place<T>| &*place.region == caller.region;
-    let mut selected: Vec<&Place<T>> = ready.iter().filter(is_covered).filter(is_local).collect();
+    let is_covered =
+        |location: &&InstanceLocation<T>| coverage(covered, &location.region) >= required;
+    let is_local = |location: &&InstanceLocation<T>| &*location.region == caller.region;
+    let mut selected: Vec<&InstanceLocation<T>> =
+        ready.iter().filter(is_covered).filter(is_local).collect();
     if selected.is_empty() {
         selected = ready.iter().filter(is_covered).collect();
     }
     if selected.is_empty() {
         selected = ready.iter().collect();
     }
-    selected.sort_by_key(|place| (&*place.zone != caller.zone, &*place.region != caller.region));
-    selected.into_iter().take(MAX_INSTANCES).map(|place| place.instance.clone()).collect()
+    selected.sort_by_key(|location| {
+        (&*location.zone != caller.zone, &*location.region != caller.region)
+    });
+    selected.into_iter().take(MAX_INSTANCES).map(|location| location.instance.clone()).collect()
 }
 
 fn coverage(covered: &BTreeMap<Name, usize>, region: &str) -> usize {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -10,7 +10,7 @@
 mod serving;
 mod settings;
 
-pub use directory::{Caller, Place, choose};
+pub use directory::{Caller, InstanceLocation, select_instances};
 pub use peers::Peers;
-pub use serving::{Seat, serving};
+pub use serving::{Candidate, select_serving};
 pub use settings::Settings;
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -15,7 +15,7 @@
     Datagram, Digest, Endpoint, Membership, Outgoing, Record, Role, State, Suspicions, View,
 };
 use bergamot_net::Fault;
-use bergamot_quarantine::Shared as Quarantine;
+use bergamot_quarantine::Quarantine;
 use bergamot_wire::LARGEST_DATAGRAM;
 use rand::RngExt;
 use tokio::net::UdpSocket;
@@ -30,8 +30,8 @@
 /// How long the statement of a member about its revision remains valid: a few probe periods.
 const STATEMENT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// The most members that [`Peers::fresh`] returns.
-const MAX_FRESH: usize = 3;
+/// The most members that [`Peers::up_to_date_members`] returns.
+const MAX_UP_TO_DATE: usize = 3;
 
 /// The state behind the lock.
 struct Control {
@@ -162,7 +162,7 @@
 
     /// Sets the revision in force here and whether it is the latest published one, as stated to the
     /// other members from now on.
-    pub fn set_news(&self, revision: Revision, fresh: bool) {
+    pub fn set_revision(&self, revision: Revision, fresh: bool) {
         let mut control = self.lock();
         control.revision = revision;
         control.fresh = fresh;
@@ -170,7 +170,7 @@
 
     /// Returns members that recently stated to have the latest published revision, the most recent
     /// first.
-    pub fn fresh(&self) -> Vec<Ipv4Addr> {
+    pub fn up_to_date_members(&self) -> Vec<Ipv4Addr> {
         let now = Instant::now();
         let mut control = self.lock();
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < STATEMENT_LIFETIME;
@@ -178,18 +178,18 @@
         let mut fresh: Vec<_> = control.fresh_members.iter().map(|(ip, at)| (*at, *ip)).collect();
         drop(control);
         fresh.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
-        fresh.into_iter().take(MAX_FRESH).map(|(_, ip)| ip).collect()
+        fresh.into_iter().take(MAX_UP_TO_DATE).map(|(_, ip)| ip).collect()
     }
 
     /// Returns the member with the highest revision among those that stated theirs recently, if it
     /// is higher than the given one.
-    pub fn ahead(&self, revision: Revision) -> Option<Ipv4Addr> {
+    pub fn member_ahead_of(&self, revision: Revision) -> Option<Ipv4Addr> {
         let (highest, ip, at) = self.lock().highest_revision?;
         (highest > revision && at.elapsed() < STATEMENT_LIFETIME).then_some(ip)
     }
 
     /// Announces that this member stops, so that no more callers are directed here.
-    pub fn farewell(&self) {
+    pub fn announce_leaving(&self) {
         for _ in 0..LEAVE_MESSAGES {
             let mut control = self.lock();
             let digest = control.digest();
--- a/crates/peers/src/serving.rs
+++ b/crates/peers/src/serving.rs
@@ -17,26 +17,30 @@
 
 /// A candidate to serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Candidate {
     /// The member.
     pub ip: Ipv4Addr,
     /// Its region.
     pub region: Name,
     /// Whether searchers run in its availability zone.
-    pub beside: bool,
+    pub in_searcher_zone: bool,
     /// The processor time available to it, in thousandths of a core.
     pub weight: u32,
 }
 
 /// Selects the members that serve, given how many connections a searcher accepts.
-pub fn serving(seats: &[Seat], connections: usize, policy: &Seats) -> BTreeSet<Ipv4Addr> {
+pub fn select_serving(
+    candidates: &[Candidate],
+    connections: usize,
+    policy: &Seats,
+) -> BTreeSet<Ipv4Addr> {
     let available = connections.saturating_sub(1);
-    if !policy.on || seats.len() * policy.fewest_connections <= available {
-        return seats.iter().map(|seat| seat.ip).collect();
+    if !policy.on || candidates.len() * policy.fewest_connections <= available {
+        return candidates.iter().map(|candidate| candidate.ip).collect();
     }
-    let mut regions = BTreeMap::<&Name, Vec<&Seat>>::new();
-    for seat in seats {
-        regions.entry(&seat.region).or_default().push(seat);
+    let mut regions = BTreeMap::<&Name, Vec<&Candidate>>::new();
+    for candidate in candidates {
+        regions.entry(&candidate.region).or_default().push(candidate);
     }
     let most = (available / policy.connections / regions.len().max(1)).max(policy.fewest);
     regions.into_values().flat_map(|members| select_largest(members, policy.fewest, most)).collect()
@@ -44,16 +48,24 @@
 
 /// Selects between `fewest` and `most` members of a region: the large ones, of these only those in
 /// a zone with searchers if there are enough, and smaller ones only to reach `fewest`.
-fn select_largest(mut members: Vec<&Seat>, fewest: usize, most: usize) -> Vec<Ipv4Addr> {
-    let threshold = members.iter().map(|seat| seat.weight).max().unwrap_or(0) / 2;
-    let is_large = |seat: &&Seat| seat.weight >= threshold;
-    let rank = |seat: &&Seat| {
-        (!is_large(seat), !seat.beside, Reverse(seat.weight), hash_bytes(&seat.ip.octets()))
+fn select_largest(mut members: Vec<&Candidate>, fewest: usize, most: usize) -> Vec<Ipv4Addr> {
+    let threshold = members.iter().map(|candidate| candidate.weight).max().unwrap_or(0) / 2;
+    let is_large = |candidate: &&Candidate| candidate.weight >= threshold;
+    let rank = |candidate: &&Candidate| {
+        (
+            !is_large(candidate),
+            !candidate.in_searcher_zone,
+            Reverse(candidate.weight),
+            hash_bytes(&candidate.ip.octets()),
+        )
     };
     members.sort_by_key(rank);
-    let beside = members.iter().filter(|seat| is_large(seat) && seat.beside).count();
-    let large = members.iter().filter(|seat| is_large(seat)).count();
-    let preferred = if beside >= fewest { beside } else { large };
+    let in_searcher_zone = members
+        .iter()
+        .filter(|candidate| is_large(candidate) && candidate.in_searcher_zone)
+        .count();
+    let large = members.iter().filter(|candidate| is_large(candidate)).count();
+    let preferred = if in_searcher_zone >= fewest { in_searcher_zone } else { large };
     let count = preferred.max(fewest).min(most);
-    members.into_iter().take(count).map(|seat| seat.ip).collect()
+    members.into_iter().take(count).map(|candidate| candidate.ip).collect()
 }
--- a/crates/quarantine/src/gate.rs
+++ b/crates/quarantine/src/gate.rs
@@ -7,9 +7,9 @@
 
 /// Whether a further attempt may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum Permit {
     /// It may be made without restriction.
-    Free,
+    Unrestricted,
     /// It may be made as the trial that shows whether the request crashes searchers.
     Trial,
     /// It has to wait for the result of a trial in flight.
@@ -20,13 +20,13 @@
 
 /// The result of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TrialOutcome {
     /// The searcher answered: the request is harmless.
     Answered,
     /// The searcher crashed.
-    Ended,
-    /// Inconclusive: nothing was sent, or the searcher failed without crashing.
-    Open,
+    Crashed,
+    /// Nothing was sent, or the searcher failed without crashing.
+    Inconclusive,
 }
 
 /// The state that decides about further attempts.
@@ -48,36 +48,36 @@
 
 impl Gate {
     /// Records that a searcher crashed during an attempt that was not a trial.
-    pub fn hold(&mut self) {
+    pub fn record_crash(&mut self) {
         if *self == Self::Open {
             *self = Self::Held { trial_in_flight: false };
         }
     }
 
-    /// Requests a further attempt. [`Pass::Trial`] starts the trial.
-    pub fn pass(&mut self) -> Pass {
+    /// Requests a further attempt. [`Permit::Trial`] starts the trial.
+    pub fn acquire(&mut self) -> Permit {
         match self {
-            Self::Open | Self::Cleared => Pass::Free,
-            Self::Held { trial_in_flight: true } => Pass::Wait,
+            Self::Open | Self::Cleared => Permit::Unrestricted,
+            Self::Held { trial_in_flight: true } => Permit::Wait,
             Self::Held { trial_in_flight } => {
                 *trial_in_flight = true;
-                Pass::Trial
+                Permit::Trial
             }
-            Self::Closed => Pass::Denied,
+            Self::Closed => Permit::Denied,
         }
     }
 
     /// Returns whether further attempts are unrestricted.
-    pub fn is_free(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         matches!(self, Self::Open | Self::Cleared)
     }
 
     /// Records the result of the trial.
-    pub fn settle(&mut self, outcome: Outcome) {
+    pub fn finish_trial(&mut self, outcome: TrialOutcome) {
         *self = match outcome {
-            Outcome::Answered => Self::Cleared,
-            Outcome::Ended => Self::Closed,
-            Outcome::Open => Self::Held { trial_in_flight: false },
+            TrialOutcome::Answered => Self::Cleared,
+            TrialOutcome::Crashed => Self::Closed,
+            TrialOutcome::Inconclusive => Self::Held { trial_in_flight: false },
         };
     }
 }
--- a/crates/quarantine/src/shared.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -40,7 +40,7 @@
 
 /// A [`Table`] behind a lock, with the reports that are due to other members.
 #[derive(Debug)]
-pub struct Shared {
+pub struct Quarantine {
     table: Mutex<Table>,
     /// Whether the table has any records. If not, requests are handled without taking the lock.
     has_records: AtomicBool,
@@ -52,7 +52,7 @@
     changed: Notify,
 }
 
-impl Default for Shared {
+impl Default for Quarantine {
     fn default() -> Self {
         Self {
             table: Mutex::new(Table::new(Settings::default())),
@@ -65,24 +65,24 @@
     }
 }
 
-impl Shared {
+impl Quarantine {
     /// Returns the standing of a request. Its fingerprint is computed only if there are records of
     /// any request.
     pub fn standing(&self, now: Instant, of: impl FnOnce() -> Fingerprint) -> Standing {
-        if !self.is_used() {
+        if !self.has_records() {
             return Standing::Trusted;
         }
         self.lock().standing(of(), now)
     }
 
     /// Returns whether there are records of any request.
-    pub fn is_used(&self) -> bool {
+    pub fn has_records(&self) -> bool {
         self.has_records.load(Ordering::Relaxed)
     }
 
     /// Records that a searcher of a service crashed while it ran a request. Returns the new
     /// standing of the request if the record changed.
-    pub fn accuse(
+    pub fn record_strike(
         &self,
         now: Instant,
         fingerprint: Fingerprint,
@@ -90,7 +90,7 @@
         service: &Name,
     ) -> Option<Standing> {
         let mut table = self.lock();
-        let changed = table.accuse(now, fingerprint, strike, service);
+        let changed = table.record_strike(now, fingerprint, strike, service);
         let standing = table.standing(fingerprint, now);
         let severe = table.is_severe(fingerprint);
         self.update_summary(&table);
@@ -102,9 +102,9 @@
     }
 
     /// Records that services answered a request, and returns whether the record changed.
-    pub fn acquit(&self, fingerprint: Fingerprint, services: &[Name]) -> bool {
+    pub fn record_answer(&self, fingerprint: Fingerprint, services: &[Name]) -> bool {
         let mut table = self.lock();
-        let changed = table.acquit(fingerprint, services);
+        let changed = table.record_answer(fingerprint, services);
         if changed {
             self.update_summary(&table);
             drop(table);
@@ -114,8 +114,8 @@
     }
 
     /// Grants a trial, unless the request is condemned or a trial is in flight.
-    pub fn grant(&self, now: Instant, fingerprint: Fingerprint) -> bool {
-        self.lock().grant(now, fingerprint)
+    pub fn grant_trial(&self, now: Instant, fingerprint: Fingerprint) -> bool {
+        self.lock().grant_trial(now, fingerprint)
     }
 
     /// Merges the report of another member, and returns whether the record changed.
@@ -129,18 +129,18 @@
     }
 
     /// Sets whether this member has received the records of the others.
-    pub fn set_informed(&self, informed: bool) {
-        self.unsynced.store(!informed, Ordering::Relaxed);
+    pub fn set_synced(&self, synced: bool) {
+        self.unsynced.store(!synced, Ordering::Relaxed);
     }
 
     /// Returns whether this member has received the records of the others, and so may accept
     /// requests.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         !self.unsynced.load(Ordering::Relaxed)
     }
 
     /// Takes the reports that are due to the other members.
-    pub fn take_news(&self, now: Instant) -> Vec<Report> {
+    pub fn take_pending_reports(&self, now: Instant) -> Vec<Report> {
         let requests = std::mem::take(&mut self.lock_pending().requests);
         let table = self.lock();
         requests.into_iter().filter_map(|fingerprint| table.report(fingerprint, now)).collect()
@@ -162,7 +162,7 @@
     }
 
     /// Returns the reports about severe requests, see [`Table::is_severe`].
-    pub fn grave(&self, now: Instant) -> Vec<Report> {
+    pub fn severe_reports(&self, now: Instant) -> Vec<Report> {
         self.lock().severe_reports(now)
     }
 
@@ -173,7 +173,7 @@
 
     /// Removes records that are older than the retention time.
     pub fn expire(&self, now: Instant) {
-        if self.is_used() {
+        if self.has_records() {
             let mut table = self.lock();
             if table.expire(now) {
                 self.update_summary(&table);
--- a/crates/quarantine/src/report.rs
+++ b/crates/quarantine/src/report.rs
@@ -28,13 +28,13 @@
 impl Strike {
     /// Creates the strike for crashes during the fan-out of a caller's attempt, given the
     /// identifier of the attempt.
-    pub fn together(attempt: &[u8]) -> Self {
+    pub fn from_fan_out(attempt: &[u8]) -> Self {
         Self { id: hash_bytes(attempt), trial: false, searcher: 0, cleared: false }
     }
 
     /// Creates the strike for the crash of a searcher, given as its incarnation, that was the only
     /// one to run a caller's attempt.
-    pub fn alone(attempt: &[u8], searcher: &str) -> Self {
+    pub fn from_trial(attempt: &[u8], searcher: &str) -> Self {
         let searcher = hash_bytes(searcher.as_bytes());
         let id = hash_pair(hash_bytes(attempt), searcher);
         Self { id, trial: true, searcher, cleared: false }
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -168,7 +168,7 @@
 
     /// Records that a searcher of a service crashed while it ran a request, and returns whether the
     /// record changed.
-    pub fn accuse(
+    pub fn record_strike(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
@@ -189,7 +189,7 @@
     ///
     /// An answer clears the strikes only if it came from one of the services whose searchers
     /// crashed: a request may crash the searchers of one shard and not those of another.
-    pub fn acquit(&mut self, fingerprint: Fingerprint, services: &[Name]) -> bool {
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, services: &[Name]) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
@@ -206,7 +206,7 @@
     /// Grants a trial of a suspect, unless it is condemned or a trial is in flight.
     ///
     /// Among the members, only the owner of the request by rendezvous hashing grants its trials.
-    pub fn grant(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
+    pub fn grant_trial(&mut self, now: Instant, fingerprint: Fingerprint) -> bool {
         if matches!(self.standing(fingerprint, now), Standing::Condemned(_)) {
             return false;
         }
--- a/crates/quarantine/tests/fleet/world.rs
+++ b/crates/quarantine/tests/fleet/world.rs
@@ -6,7 +6,7 @@
 
 use bergamot_base::{Name, Seed, hash_pair};
 use bergamot_quarantine::{
-    Fingerprint, Gate, Outcome, Pass, Report, Settings, Standing, Strike, Table,
+    Fingerprint, Gate, Permit, Report, Settings, Standing, Strike, Table, TrialOutcome,
 };
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -232,7 +232,7 @@
                     .expect("there are members");
                 let now = self.instant();
                 let granted =
-                    self.can_reach(owner, member) && self.tables[owner].grant(now, request);
+                    self.can_reach(owner, member) && self.tables[owner].grant_trial(now, request);
                 let event = Event::GrantReply { request, attempt, member, granted };
                 self.schedule(self.now + 2 * LATENCY, event);
             }
@@ -341,8 +341,12 @@
                 self.answered(request, member, asked);
             }
             if trial && let Some(gate) = self.gates.get_mut(&key) {
-                let outcome = if asked.is_empty() { Outcome::Open } else { Outcome::Answered };
-                gate.settle(outcome);
+                let outcome = if asked.is_empty() {
+                    TrialOutcome::Inconclusive
+                } else {
+                    TrialOutcome::Answered
+                };
+                gate.finish_trial(outcome);
             }
             return;
         }
@@ -356,12 +360,12 @@
         }
         let gate = self.gates.entry(key).or_default();
         if trial {
-            gate.settle(Outcome::Ended);
+            gate.finish_trial(TrialOutcome::Crashed);
             return;
         }
-        gate.hold();
+        gate.record_crash();
         // Every shard whose searcher crashed requests a retry; the gate admits one of them.
-        let admitted = crashed.iter().filter(|_| gate.pass() == Pass::Trial).count();
+        let admitted = crashed.iter().filter(|_| gate.acquire() == Permit::Trial).count();
         assert_eq!(admitted, 1, "one further attempt at a time");
         let affected: Vec<usize> = crashed.iter().map(|searcher| searcher / REPLICAS).collect();
         let live = affected.iter().copied().find(|shard| self.live_replica(*shard).is_some());
@@ -373,14 +377,14 @@
         if request != FATAL {
             self.observed.answered += 1;
         }
-        if self.tables[member].acquit(request, &services) {
+        if self.tables[member].record_answer(request, &services) {
             self.broadcast(member, request);
         }
     }
 
     fn accuse(&mut self, member: usize, request: Fingerprint, strike: Strike, of: usize) {
         let now = self.instant();
-        if self.tables[member].accuse(now, request, strike, &shard(of)) {
+        if self.tables[member].record_strike(now, request, strike, &shard(of)) {
             self.broadcast(member, request);
         }
     }
--- a/crates/quarantine/tests/gate.rs
+++ b/crates/quarantine/tests/gate.rs
@@ -1,38 +1,44 @@
 //! Further attempts of a request after a searcher crashed while running it.
 
-use bergamot_quarantine::{Gate, Outcome, Pass};
+use bergamot_quarantine::{Gate, Permit, TrialOutcome};
 
 #[test]
 fn attempts_are_unrestricted_while_no_searcher_has_crashed() {
     let mut gate = Gate::default();
-    assert_eq!((gate.pass(), gate.pass(), gate.is_free()), (Pass::Free, Pass::Free, true));
+    assert_eq!(
+        (gate.acquire(), gate.acquire(), gate.is_unrestricted()),
+        (Permit::Unrestricted, Permit::Unrestricted, true)
+    );
 }
 
 #[test]
 fn after_a_crash_one_trial_is_in_flight_at_a_time() {
     let mut gate = Gate::default();
-    gate.hold();
-    assert_eq!((gate.pass(), gate.pass(), gate.is_free()), (Pass::Trial, Pass::Wait, false));
-    gate.settle(Outcome::Open);
-    assert_eq!((gate.pass(), gate.pass()), (Pass::Trial, Pass::Wait));
+    gate.record_crash();
+    assert_eq!(
+        (gate.acquire(), gate.acquire(), gate.is_unrestricted()),
+        (Permit::Trial, Permit::Wait, false)
+    );
+    gate.finish_trial(TrialOutcome::Inconclusive);
+    assert_eq!((gate.acquire(), gate.acquire()), (Permit::Trial, Permit::Wait));
 }
 
 #[test]
 fn an_answered_trial_lifts_the_restriction() {
     let mut gate = Gate::default();
-    gate.hold();
-    assert_eq!(gate.pass(), Pass::Trial);
-    gate.settle(Outcome::Answered);
+    gate.record_crash();
+    assert_eq!(gate.acquire(), Permit::Trial);
+    gate.finish_trial(TrialOutcome::Answered);
     // Late reports of earlier crashes are ignored.
-    gate.hold();
-    assert_eq!((gate.pass(), gate.is_free()), (Pass::Free, true));
+    gate.record_crash();
+    assert_eq!((gate.acquire(), gate.is_unrestricted()), (Permit::Unrestricted, true));
 }
 
 #[test]
 fn a_crash_during_the_trial_denies_further_attempts() {
     let mut gate = Gate::default();
-    gate.hold();
-    assert_eq!(gate.pass(), Pass::Trial);
-    gate.settle(Outcome::Ended);
-    assert_eq!((gate.pass(), gate.pass()), (Pass::Denied, Pass::Denied));
+    gate.record_crash();
+    assert_eq!(gate.acquire(), Permit::Trial);
+    gate.finish_trial(TrialOutcome::Crashed);
+    assert_eq!((gate.acquire(), gate.acquire()), (Permit::Denied, Permit::Denied));
 }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -45,7 +45,7 @@
 fn crashes_during_fan_outs_never_condemn() {
     let (mut table, now) = (table(), Instant::now());
     for id in 0..100 {
-        table.accuse(now, REQUEST, fan_out(id), &service());
+        table.record_strike(now, REQUEST, fan_out(id), &service());
     }
     assert_eq!(table.standing(REQUEST, now), Standing::Suspect(vec![service()]));
 }
@@ -53,23 +53,25 @@
 #[test]
 fn crashes_during_two_trials_condemn() {
     let (mut table, now) = (table(), Instant::now());
-    table.accuse(now, REQUEST, fan_out(1), &service());
-    table.accuse(now, REQUEST, trial(2), &service());
+    table.record_strike(now, REQUEST, fan_out(1), &service());
+    table.record_strike(now, REQUEST, trial(2), &service());
     assert!(!is_condemned(&table, now));
-    table.accuse(now, REQUEST, trial(3), &service());
+    table.record_strike(now, REQUEST, trial(3), &service());
     assert!(is_condemned(&table, now));
-    assert!(!table.grant(now, REQUEST));
+    assert!(!table.grant_trial(now, REQUEST));
 }
 
 #[test]
 fn an_answer_clears_strikes_and_later_crashes_count_from_zero() {
     let (mut table, now) = (table(), Instant::now());
     for strike in [fan_out(1), trial(2), trial(3)] {
-        table.accuse(now, REQUEST, strike, &service());
+        table.record_strike(now, REQUEST, strike, &service());
     }
-    assert!(table.acquit(REQUEST, &[service()]) && !table.acquit(REQUEST, &[service()]));
+    assert!(
+        table.record_answer(REQUEST, &[service()]) && !table.record_answer(REQUEST, &[service()])
+    );
     assert_eq!(table.standing(REQUEST, now), Standing::Trusted);
-    table.accuse(now, REQUEST, trial(4), &service());
+    table.record_strike(now, REQUEST, trial(4), &service());
     assert_eq!(table.standing(REQUEST, now), Standing::Suspect(vec![service()]));
 }
 
@@ -77,8 +79,8 @@
 #[test]
 fn an_answer_of_an_unaffected_service_clears_nothing() {
     let (mut table, now) = (table(), Instant::now());
-    table.accuse(now, REQUEST, fan_out(1), &service());
-    assert!(!table.acquit(REQUEST, &[Name::from("b")]));
+    table.record_strike(now, REQUEST, fan_out(1), &service());
+    assert!(!table.record_answer(REQUEST, &[Name::from("b")]));
     assert_eq!(table.standing(REQUEST, now), Standing::Suspect(vec![service()]));
 }
 
@@ -86,20 +88,20 @@
 fn one_trial_is_granted_at_a_time() {
     let (mut table, now) = (table(), Instant::now());
     // The member that asks may know of a strike that has not been reported here yet.
-    assert!(table.grant(now, REQUEST) && !table.grant(now, REQUEST));
-    table.accuse(now, REQUEST, trial(1), &service());
-    assert!(table.grant(now, REQUEST) && !table.grant(now, REQUEST));
+    assert!(table.grant_trial(now, REQUEST) && !table.grant_trial(now, REQUEST));
+    table.record_strike(now, REQUEST, trial(1), &service());
+    assert!(table.grant_trial(now, REQUEST) && !table.grant_trial(now, REQUEST));
     // The result of that one never arrives.
-    assert!(table.grant(now + Settings::default().trial_timeout, REQUEST));
+    assert!(table.grant_trial(now + Settings::default().trial_timeout, REQUEST));
 }
 
 #[test]
 fn a_report_of_an_earlier_crash_does_not_end_the_trial_in_flight() {
     let (mut here, mut there, now) = (table(), table(), Instant::now());
-    there.accuse(now, REQUEST, fan_out(1), &service());
-    assert!(here.grant(now, REQUEST));
+    there.record_strike(now, REQUEST, fan_out(1), &service());
+    assert!(here.grant_trial(now, REQUEST));
     assert!(here.merge(now, &there.report(REQUEST, now).expect("it is known")));
-    assert!(!here.grant(now, REQUEST));
+    assert!(!here.grant_trial(now, REQUEST));
 }
 
 #[test]
@@ -107,11 +109,11 @@
     let settings = Settings { max_records: 3, ..Settings::default() };
     let (mut table, now) = (Table::new(settings), Instant::now());
     for strike in [fan_out(1), trial(2), trial(3)] {
-        table.accuse(now, REQUEST, strike, &service());
+        table.record_strike(now, REQUEST, strike, &service());
     }
     for number in 100..200 {
         let later = now + Duration::from_millis(number);
-        table.accuse(later, Fingerprint(number), fan_out(number), &service());
+        table.record_strike(later, Fingerprint(number), fan_out(number), &service());
     }
     assert_eq!(table.reports(now).len(), 3);
     assert!(is_condemned(&table, now));
@@ -120,7 +122,7 @@
 #[test]
 fn expired_records_are_removed_and_not_merged_again() {
     let (mut table, now) = (table(), Instant::now());
-    table.accuse(now, REQUEST, fan_out(1), &service());
+    table.record_strike(now, REQUEST, fan_out(1), &service());
     let report = table.report(REQUEST, now).expect("it is known");
     let retention = Settings::default().retention;
     assert!(!table.expire(now + retention / 2));
@@ -178,10 +180,10 @@
     fn strikes_of_one_request_are_bounded(ids in prop::collection::btree_set(10..1000_u64, 0..64)) {
         let (mut table, now) = (table(), Instant::now());
         for strike in [trial(1), trial(2), trial(3)] {
-            table.accuse(now, REQUEST, strike, &service());
+            table.record_strike(now, REQUEST, strike, &service());
         }
         for id in ids {
-            table.accuse(now, REQUEST, fan_out(id), &service());
+            table.record_strike(now, REQUEST, fan_out(id), &service());
         }
         prop_assert!(is_condemned(&table, now));
         prop_assert!(table.report(REQUEST, now).expect("it is known").strikes.len() <= 8);
--- a/crates/registry/src/departed.rs
+++ b/crates/registry/src/departed.rs
@@ -31,7 +31,7 @@
     /// Records that a searcher has departed, permanently or not.
     pub(crate) fn insert(&mut self, incarnation: &Incarnation) {
         let id = Name::clone(&incarnation.id);
-        if self.start_times.insert(Name::clone(&id), incarnation.born).is_none() {
+        if self.start_times.insert(Name::clone(&id), incarnation.start_time_ms).is_none() {
             self.order.push_back(id);
         }
         if self.order.len() > MAX_DEPARTED
@@ -56,8 +56,9 @@
 
     /// Holds an entry if it may be left over from a departed searcher, and returns whether it does.
     pub(crate) fn try_hold(&mut self, upstream: &Upstream, now: Instant) -> bool {
-        let Incarnation { id, born } = &upstream.incarnation;
-        let has_departed = self.start_times.get(id).is_some_and(|departed| born <= departed);
+        let Incarnation { id, start_time_ms } = &upstream.incarnation;
+        let has_departed =
+            self.start_times.get(id).is_some_and(|departed| start_time_ms <= departed);
         let is_early = self.hold_until.is_some_and(|until| now < until);
         // An entry that has changed since the restore was written by a live searcher.
         let is_unchanged = self.held.get(id).is_none_or(|held| {
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -84,17 +84,17 @@
 
     /// Processes the entry of a searcher, and returns whether anything changed.
     pub fn publish(&mut self, upstream: Upstream, now: Instant) -> bool {
-        let Incarnation { id, born } = upstream.incarnation.clone();
-        if born.is_none() && self.expects_start_times() {
+        let Incarnation { id, start_time_ms } = upstream.incarnation.clone();
+        if start_time_ms.is_none() && self.expects_start_times() {
             // Searchers publish start times here, so this entry was written by something else.
-            return self.overwrite(&id, now);
+            return self.overwrite_entry(&id, now);
         }
-        let known = self.entries.get(&id).map(|entry| entry.upstream.incarnation.born);
+        let known = self.entries.get(&id).map(|entry| entry.upstream.incarnation.start_time_ms);
         let ended = self.ended.get(&id).copied();
         match known.or(ended) {
-            Some(latest) if born < latest => self.insert_earlier(upstream, now),
-            Some(latest) if born == latest && known.is_none() => false,
-            Some(latest) if born == latest => self.renew(upstream, now),
+            Some(latest) if start_time_ms < latest => self.insert_earlier(upstream, now),
+            Some(latest) if start_time_ms == latest && known.is_none() => false,
+            Some(latest) if start_time_ms == latest => self.renew(upstream, now),
             None if self.departed.try_hold(&upstream, now) => false,
             Some(_) | None => {
                 self.insert(upstream, now);
@@ -105,7 +105,7 @@
 
     /// Records that the entry of a searcher was removed from the store; it may return. Returns
     /// whether anything changed.
-    pub fn disappear(&mut self, id: &str, now: Instant) -> bool {
+    pub fn remove_entry(&mut self, id: &str, now: Instant) -> bool {
         self.earlier.remove(id);
         self.departed.drop_held(id);
         self.mark_missing(id, (Absence::Removed, now))
@@ -114,7 +114,7 @@
     /// Records that the entry of a searcher, if there was one, was overwritten with something that
     /// is not a searcher's entry; a live searcher writes it again. Returns whether anything
     /// changed.
-    pub fn overwrite(&mut self, id: &str, now: Instant) -> bool {
+    pub fn overwrite_entry(&mut self, id: &str, now: Instant) -> bool {
         self.earlier.remove(id);
         self.departed.drop_held(id);
         self.mark_missing(id, (Absence::Overwritten, now))
@@ -132,13 +132,13 @@
         let missing: Vec<Name> =
             self.entries.keys().filter(|id| !listed.contains(*id)).cloned().collect();
         for id in missing {
-            self.disappear(&id, now);
+            self.remove_entry(&id, now);
         }
     }
 
     /// Records that the store is available again, after it was unavailable for so long that
     /// entries of live searchers may have expired.
-    pub fn regained(&mut self, now: Instant) {
+    pub fn store_recovered(&mut self, now: Instant) {
         self.store_back_at = Some(now);
     }
 
@@ -148,7 +148,7 @@
     /// Searchers whose latest entry is not in the copy are missing until they write again.
     /// Searchers whose entries had been removed depart at once, since the copy would otherwise
     /// bring them back.
-    pub fn restored(&mut self, now: Instant, expiry: Duration) {
+    pub fn store_restored(&mut self, now: Instant, expiry: Duration) {
         let removed = |entry: &&Entry| matches!(entry.missing, Some((Absence::Removed, _)));
         let removed: Vec<Name> = self
             .entries
@@ -160,11 +160,11 @@
             self.remove(&id, false);
         }
         self.departed.hold_until(now + expiry);
-        self.regained(now);
+        self.store_recovered(now);
     }
 
     /// Records that an incarnation has ended permanently, and returns whether it was known.
-    pub fn end(&mut self, incarnation: &Incarnation) -> bool {
+    pub fn end_incarnation(&mut self, incarnation: &Incarnation) -> bool {
         self.contains(incarnation) && self.remove(&incarnation.id, true)
     }
 
@@ -260,7 +260,7 @@
 
     fn known(&self, incarnation: &Incarnation) -> Option<&Entry> {
         let entry = self.entries.get(&incarnation.id)?;
-        (entry.upstream.incarnation.born == incarnation.born).then_some(entry)
+        (entry.upstream.incarnation.start_time_ms == incarnation.start_time_ms).then_some(entry)
     }
 
     /// Processes a new entry of the known incarnation.
@@ -290,7 +290,7 @@
         if let Some(before) = self.entries.remove(&id) {
             self.remove_from_indexes(&before.upstream);
         }
-        self.with_start_time += usize::from(upstream.incarnation.born.is_some());
+        self.with_start_time += usize::from(upstream.incarnation.start_time_ms.is_some());
         if self.ended.remove(&id).is_some() {
             self.ended_order.retain(|ended| *ended != id);
         }
@@ -349,7 +349,7 @@
             self.departed.insert(&entry.upstream.incarnation);
             return true;
         }
-        self.ended.insert(Name::clone(&id), entry.upstream.incarnation.born);
+        self.ended.insert(Name::clone(&id), entry.upstream.incarnation.start_time_ms);
         self.ended_order.push_back(id);
         if self.ended_order.len() > MAX_ENDED
             && let Some(oldest) = self.ended_order.pop_front()
@@ -361,7 +361,7 @@
 
     /// Removes a searcher without an entry from the data derived from the entries.
     fn remove_from_indexes(&mut self, upstream: &Upstream) {
-        self.with_start_time -= usize::from(upstream.incarnation.born.is_some());
+        self.with_start_time -= usize::from(upstream.incarnation.start_time_ms.is_some());
         if let Some(ids) = self.by_service.get_mut(&upstream.service) {
             ids.remove(&upstream.incarnation.id);
             if ids.is_empty() {
@@ -375,11 +375,11 @@
         let ids: Vec<Name> = self
             .entries
             .values()
-            .filter(|entry| entry.upstream.incarnation.born.is_none())
+            .filter(|entry| entry.upstream.incarnation.start_time_ms.is_none())
             .map(|entry| Name::clone(&entry.upstream.incarnation.id))
             .collect();
         for id in ids {
-            self.overwrite(&id, now);
+            self.overwrite_entry(&id, now);
         }
     }
 
--- a/crates/registry/src/upstream.rs
+++ b/crates/registry/src/upstream.rs
@@ -18,13 +18,14 @@
     pub id: Name,
     /// Its start time by its own clock, in Unix milliseconds. `None` where each incarnation has its
     /// own identifier.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub start_time_ms: Option<u64>,
 }
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}@{born}", self.id),
+        match self.start_time_ms {
+            Some(start_time_ms) => write!(f, "{}@{start_time_ms}", self.id),
             None => f.write_str(&self.id),
         }
     }
--- a/crates/registry/tests/properties.rs
+++ b/crates/registry/tests/properties.rs
@@ -13,10 +13,10 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Publish { id: u8, born: Option<u64>, service: u8, ready: bool },
+    Publish { id: u8, start_time_ms: Option<u64>, service: u8, ready: bool },
     Overwrite(u8),
     Disappear(u8),
-    End { id: u8, born: Option<u64> },
+    End { id: u8, start_time_ms: Option<u64> },
     List(BTreeSet<(u8, u64)>),
     Expire { store_is_unavailable: bool },
     StoreBack,
@@ -27,10 +27,13 @@
     let id = 0_u8..4;
     prop_oneof![
         5 => (id.clone(), start_times.clone(), 0_u8..2, any::<bool>())
-            .prop_map(|(id, born, service, ready)| Event::Publish { id, born, service, ready }),
+            .prop_map(|(id, start_time_ms, service, ready)| {
+                Event::Publish { id, start_time_ms, service, ready }
+            }),
         1 => id.clone().prop_map(Event::Overwrite),
         1 => id.clone().prop_map(Event::Disappear),
-        1 => (id.clone(), start_times).prop_map(|(id, born)| Event::End { id, born }),
+        1 => (id.clone(), start_times)
+            .prop_map(|(id, start_time_ms)| Event::End { id, start_time_ms }),
         1 => prop::collection::btree_set((id, 0_u64..4), 0..4).prop_map(Event::List),
         3 => any::<bool>()
             .prop_map(|store_is_unavailable| Event::Expire { store_is_unavailable }),
@@ -39,13 +42,13 @@
     ]
 }
 
-fn incarnation(id: u8, born: Option<u64>) -> Incarnation {
-    Incarnation { id: id.to_string().into(), born }
+fn incarnation(id: u8, start_time_ms: Option<u64>) -> Incarnation {
+    Incarnation { id: id.to_string().into(), start_time_ms }
 }
 
-fn upstream(id: u8, born: Option<u64>, service: u8, ready: bool) -> Upstream {
+fn upstream(id: u8, start_time_ms: Option<u64>, service: u8, ready: bool) -> Upstream {
     Upstream {
-        incarnation: incarnation(id, born),
+        incarnation: incarnation(id, start_time_ms),
         service: service.to_string().into(),
         address: ([127, 0, 0, 1], 9000).into(),
         zone: "z".into(),
@@ -61,7 +64,7 @@
 /// The last entry that one incarnation published.
 #[derive(Clone, Copy, Debug)]
 struct Published {
-    born: Option<u64>,
+    start_time_ms: Option<u64>,
     service: u8,
     draining: bool,
 }
@@ -95,20 +98,23 @@
 impl Model {
     fn publish(&mut self, entry: Published, now: Instant, restored: Option<Instant>) {
         let early = restored.is_some_and(|restored| now < restored + EXPIRY);
-        let departed = self.departed.is_some_and(|departed| entry.born <= departed.born);
+        let departed =
+            self.departed.is_some_and(|departed| entry.start_time_ms <= departed.start_time_ms);
         let unchanged = self.held.is_none_or(|held| held.draining == entry.draining);
         if self.known.is_none() && self.ended.is_none() && early && departed && unchanged {
             self.held = Some(entry);
             return;
         }
-        let latest = self.known.or(self.ended).map(|latest| latest.born);
+        let latest = self.known.or(self.ended).map(|latest| latest.start_time_ms);
         match latest {
-            Some(latest) if entry.born < latest => {
-                let seen = self.earlier.filter(|(earlier, _)| earlier.born == entry.born);
+            Some(latest) if entry.start_time_ms < latest => {
+                let seen = self
+                    .earlier
+                    .filter(|(earlier, _)| earlier.start_time_ms == entry.start_time_ms);
                 self.earlier = Some((entry, seen.map_or(now, |(_, since)| since)));
                 self.mark_missing(false, now);
             }
-            Some(latest) if entry.born == latest => {
+            Some(latest) if entry.start_time_ms == latest => {
                 if let Some(known) = self.known {
                     let draining = known.draining || entry.draining;
                     self.set_known(Published { draining, ..entry });
@@ -185,7 +191,7 @@
 impl World {
     fn publish(&mut self, id: u8, entry: Published, now: Instant) {
         let expected = self.expects_start_times();
-        if entry.born.is_none() && expected {
+        if entry.start_time_ms.is_none() && expected {
             return self.overwrite(id, now);
         }
         self.models[usize::from(id)].publish(entry, now, self.restored);
@@ -195,7 +201,7 @@
     /// Returns whether most searchers publish a start time.
     fn expects_start_times(&self) -> bool {
         let known = || self.models.iter().filter_map(|model| model.known);
-        known().filter(|known| known.born.is_some()).count() * 2 > known().count()
+        known().filter(|known| known.start_time_ms.is_some()).count() * 2 > known().count()
     }
 
     /// Marks entries without a start time as overwritten, if start times have just become expected.
@@ -204,7 +210,7 @@
             return;
         }
         let lacks_start_time =
-            |model: &&mut Model| model.known.is_some_and(|known| known.born.is_none());
+            |model: &&mut Model| model.known.is_some_and(|known| known.start_time_ms.is_none());
         self.models
             .iter_mut()
             .filter(lacks_start_time)
@@ -244,7 +250,7 @@
         let usable = (0_u8..).zip(&self.models).filter_map(|(id, model)| {
             let usable = |known: &Published| known.service == service && !known.draining;
             let known = model.known.filter(usable)?;
-            Some((incarnation(id, known.born), model.absent.is_some()))
+            Some((incarnation(id, known.start_time_ms), model.absent.is_some()))
         });
         usable.collect()
     }
@@ -256,32 +262,36 @@
     for event in events {
         now += STEP;
         match event {
-            Event::Publish { id, born, service, ready } => {
-                world.publish(id, Published { born, service, draining: !ready }, now);
-                registry.publish(upstream(id, born, service, ready), now);
+            Event::Publish { id, start_time_ms, service, ready } => {
+                world.publish(id, Published { start_time_ms, service, draining: !ready }, now);
+                registry.publish(upstream(id, start_time_ms, service, ready), now);
             }
             Event::Overwrite(id) => {
                 world.overwrite(id, now);
-                registry.overwrite(&id.to_string(), now);
+                registry.overwrite_entry(&id.to_string(), now);
             }
             Event::Disappear(id) => {
                 world.disappear(id, now);
-                registry.disappear(&id.to_string(), now);
+                registry.remove_entry(&id.to_string(), now);
             }
-            Event::End { id, born } => {
+            Event::End { id, start_time_ms } => {
                 let model = &mut world.models[usize::from(id)];
-                let known = model.known.is_some_and(|known| known.born == born);
+                let known = model.known.is_some_and(|known| known.start_time_ms == start_time_ms);
                 if known {
                     model.end();
                 }
-                prop_assert_eq!(registry.end(&incarnation(id, born)), known);
+                prop_assert_eq!(registry.end_incarnation(&incarnation(id, start_time_ms)), known);
             }
             Event::List(ids) => {
                 let listing: BTreeMap<u8, u64> = ids.into_iter().collect();
-                for (id, born) in &listing {
+                for (id, start_time_ms) in &listing {
                     world.publish(
                         *id,
-                        Published { born: Some(*born), service: 0, draining: false },
+                        Published {
+                            start_time_ms: Some(*start_time_ms),
+                            service: 0,
+                            draining: false,
+                        },
                         now,
                     );
                 }
@@ -289,7 +299,8 @@
                     world.disappear(id, now);
                 }
                 let listing = listing.into_iter();
-                let listing = listing.map(|(id, born)| upstream(id, Some(born), 0, true));
+                let listing =
+                    listing.map(|(id, start_time_ms)| upstream(id, Some(start_time_ms), 0, true));
                 registry.replace(listing.collect(), now);
             }
             Event::Expire { store_is_unavailable } => {
@@ -301,11 +312,11 @@
             Event::StoreRestored => {
                 (world.store_back, world.restored) = (Some(now), Some(now));
                 world.models.iter_mut().for_each(Model::restore);
-                registry.restored(now, EXPIRY);
+                registry.store_restored(now, EXPIRY);
             }
             Event::StoreBack => {
                 world.store_back = Some(now);
-                registry.regained(now);
+                registry.store_recovered(now);
             }
         }
         for service in 0..2_u8 {
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -4,8 +4,8 @@
 
 use bergamot_registry::{Incarnation, Registry, State, Upstream};
 
-fn incarnation(id: &str, born: Option<u64>) -> Incarnation {
-    Incarnation { id: id.into(), born }
+fn incarnation(id: &str, start_time_ms: Option<u64>) -> Incarnation {
+    Incarnation { id: id.into(), start_time_ms }
 }
 
 fn upstream(id: &str, state: State) -> Upstream {
@@ -25,8 +25,8 @@
 }
 
 /// A searcher that publishes its start time.
-fn started(id: &str, born: u64, state: State) -> Upstream {
-    Upstream { incarnation: incarnation(id, Some(born)), ..upstream(id, state) }
+fn started(id: &str, start_time_ms: u64, state: State) -> Upstream {
+    Upstream { incarnation: incarnation(id, Some(start_time_ms)), ..upstream(id, state) }
 }
 
 fn usable(registry: &Registry) -> Vec<(String, bool)> {
@@ -50,7 +50,7 @@
 fn a_searcher_whose_entry_is_removed_is_missing_and_then_departs() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(ready("a"), Instant::now());
-    assert!(registry.disappear("a", now));
+    assert!(registry.remove_entry("a", now));
     assert_eq!(usable(&registry), [("a".to_owned(), true)]);
     assert_eq!(registry.expire(now + LONG, false).len(), 1);
     assert!(usable(&registry).is_empty());
@@ -62,7 +62,7 @@
 fn without_an_outage_a_missing_searcher_is_gone_within_its_bound() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(ready("a"), Instant::now());
-    registry.disappear("a", now);
+    registry.remove_entry("a", now);
     assert_eq!(registry.expire(now + Duration::from_millis(1400), false).len(), 1);
 }
 
@@ -77,7 +77,7 @@
 fn an_entry_that_returns_is_no_longer_missing() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(ready("a"), Instant::now());
-    registry.disappear("a", now);
+    registry.remove_entry("a", now);
     registry.publish(ready("a"), Instant::now());
     assert!(registry.expire(now + LONG, false).is_empty());
     assert_eq!(usable(&registry), [("a".to_owned(), false)]);
@@ -87,9 +87,9 @@
 fn no_searcher_departs_while_the_store_is_unavailable_or_just_after() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(ready("a"), Instant::now());
-    registry.disappear("a", now);
+    registry.remove_entry("a", now);
     assert!(registry.expire(now + LONG, true).is_empty());
-    registry.regained(now + LONG);
+    registry.store_recovered(now + LONG);
     assert!(registry.expire(now + LONG + Duration::from_secs(2), false).is_empty());
     assert_eq!(registry.expire(now + LONG * 2, false).len(), 1);
 }
@@ -98,7 +98,7 @@
 fn an_ended_incarnation_does_not_return_from_a_stale_listing() {
     let mut registry = Registry::default();
     registry.publish(ready("a"), Instant::now());
-    assert!(registry.end(&incarnation("a", None)));
+    assert!(registry.end_incarnation(&incarnation("a", None)));
     registry.replace(vec![ready("a"), ready("b")], Instant::now());
     assert_eq!(usable(&registry), [("b".to_owned(), false)]);
 }
@@ -107,7 +107,7 @@
 fn a_draining_searcher_whose_entry_is_removed_departs_at_once() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(upstream("a", State::Draining), Instant::now());
-    registry.disappear("a", now);
+    registry.remove_entry("a", now);
     assert!(!registry.contains(&incarnation("a", None)));
 }
 
@@ -123,7 +123,7 @@
     assert!(registry.usable("queue").all(|(up, _)| up.warm_at == warm_at));
     assert!(!registry.takes_work(&incarnation("a", Some(5))));
     // The end of the former incarnation does not affect the later one.
-    assert!(!registry.end(&incarnation("a", Some(5))));
+    assert!(!registry.end_incarnation(&incarnation("a", Some(5))));
     assert_eq!(usable(&registry).len(), 1);
 }
 
@@ -131,7 +131,7 @@
 fn a_searcher_that_ended_may_restart_but_the_same_incarnation_never_returns() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(started("a", 5, State::Draining), now);
-    assert!(registry.disappear("a", now));
+    assert!(registry.remove_entry("a", now));
     assert!(!registry.publish(started("a", 5, State::Ready), now));
     assert!(usable(&registry).is_empty());
     assert!(registry.publish(started("a", 6, State::Ready), now));
@@ -183,7 +183,7 @@
 fn an_earlier_entry_is_adopted_even_after_the_later_incarnation_has_ended() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(started("a", 6, State::Ready), now);
-    assert!(registry.end(&incarnation("a", Some(6))));
+    assert!(registry.end_incarnation(&incarnation("a", Some(6))));
     assert!(!registry.publish(started("a", 5, State::Ready), now));
     assert!(usable(&registry).is_empty());
     assert!(registry.expire(now + LONG, false).is_empty());
@@ -194,13 +194,13 @@
 fn an_overwritten_entry_is_missing_until_its_searcher_writes_it_again() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(started("a", 5, State::Ready), now);
-    assert!(registry.overwrite("a", now));
+    assert!(registry.overwrite_entry("a", now));
     assert_eq!(usable(&registry), [("a@5".to_owned(), true)]);
     // Two heartbeats and the propagation delay.
     assert!(registry.expire(now + Duration::from_millis(2500), false).is_empty());
     assert!(registry.publish(started("a", 5, State::Ready), now));
     assert_eq!(usable(&registry), [("a@5".to_owned(), false)]);
-    registry.overwrite("a", now);
+    registry.overwrite_entry("a", now);
     assert_eq!(registry.expire(now + LONG, false).len(), 1);
 }
 
@@ -208,7 +208,7 @@
 fn a_draining_searcher_whose_entry_is_overwritten_never_returns() {
     let (mut registry, now) = (Registry::default(), Instant::now());
     registry.publish(started("a", 5, State::Draining), now);
-    registry.overwrite("a", now);
+    registry.overwrite_entry("a", now);
     assert_eq!(registry.expire(now + LONG, false).len(), 1);
     registry.publish(started("a", 5, State::Ready), now);
     assert!(usable(&registry).is_empty());
@@ -253,17 +253,17 @@
     for id in ["long", "just", "stays"] {
         registry.publish(ready(id), now);
     }
-    registry.disappear("long", now);
+    registry.remove_entry("long", now);
     registry.expire(now + LONG, false);
     let restored = now + LONG * 2;
-    registry.disappear("just", restored);
-    registry.restored(restored, EXPIRY);
+    registry.remove_entry("just", restored);
+    registry.store_restored(restored, EXPIRY);
     for id in ["long", "just", "stays"] {
         registry.publish(ready(id), restored);
     }
     assert_eq!(usable(&registry), [("stays".to_owned(), false)]);
     // The entry of a dead searcher expires.
-    registry.disappear("just", restored + LONG);
+    registry.remove_entry("just", restored + LONG);
     registry.expire(restored + EXPIRY, false);
     assert_eq!(usable(&registry), [("long".to_owned(), false), ("stays".to_owned(), false)]);
 }
@@ -274,9 +274,9 @@
     let (mut registry, now) = (Registry::default(), Instant::now());
     for id in ["a", "b"] {
         registry.publish(started(id, 5, State::Ready), now);
-        registry.disappear(id, now);
+        registry.remove_entry(id, now);
     }
-    registry.restored(now, EXPIRY);
+    registry.store_restored(now, EXPIRY);
     registry.publish(started("a", 5, State::Ready), now);
     registry.publish(started("b", 5, State::Ready), now);
     assert!(usable(&registry).is_empty());
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -237,7 +237,7 @@
                 Shard::Ended(searcher) => {
                     self.worst = Ending::Unknown;
                     self.relay.note_failure(&searcher);
-                    self.job.door.hold();
+                    self.job.door.record_crash();
                     self.race(shard, vec![Tried::Searcher(searcher)]);
                     self.close(shard);
                 }
@@ -262,7 +262,7 @@
         }
         for Late { index, signature, records, ended } in late {
             if ended {
-                self.job.door.hold();
+                self.job.door.record_crash();
             }
             let Some(shard) = asked.shards.get(index as usize).copied() else { continue };
             match signature {
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -7,7 +7,7 @@
 use bergamot_base::Name;
 use bergamot_declaration::Kind;
 use bergamot_dispatch::Tally;
-use bergamot_quarantine::{Door, Fingerprint};
+use bergamot_quarantine::{Fingerprint, SharedGate};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
@@ -120,7 +120,7 @@
     /// What went wrong, for the log.
     pub trouble: Trouble,
     /// Whether further attempts may be made, once a searcher has ended under one.
-    pub door: Door,
+    pub door: SharedGate,
     /// The fingerprint of the request, once it was needed.
     pub fingerprint: OnceLock<Fingerprint>,
 }
@@ -142,7 +142,7 @@
             changed: Notify::new(),
             left_out: OnceLock::new(),
             trouble: Trouble::default(),
-            door: Door::default(),
+            door: SharedGate::default(),
             fingerprint: OnceLock::new(),
         }
     }
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -48,7 +48,7 @@
         let mut caller = Caller { id: &id, received, answered: false };
         self.awake().await;
         // Without what the others hold of requests it might serve one that is condemned.
-        let declaration = self.declaration().filter(|_| self.quarantine().is_informed());
+        let declaration = self.declaration().filter(|_| self.quarantine().is_synced());
         let version = declaration.as_ref().map_or(0, |declaration| declaration.version);
         let found = declaration
             .as_ref()
--- a/crates/relay/src/race.rs
+++ b/crates/relay/src/race.rs
@@ -13,7 +13,7 @@
 use bergamot_declaration::Kind;
 use bergamot_dispatch::{Ending, Need, Patience};
 use bergamot_policy::Policy;
-use bergamot_quarantine::{Outcome, Pass};
+use bergamot_quarantine::{Permit, TrialOutcome};
 use bergamot_registry::Incarnation;
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
@@ -167,7 +167,7 @@
                     self.running.retain(|attempt| !Arc::ptr_eq(&attempt.link, &link));
                     match outcome {
                         Ok(passed) => {
-                            self.settle(Outcome::Answered);
+                            self.settle(TrialOutcome::Answered);
                             return Some(passed);
                         }
                         Err(miss) => self.record(&link.upstream.incarnation, miss),
@@ -185,7 +185,7 @@
                     }
                     hedge = None;
                     let need = self.need();
-                    if self.job.door.is_free() {
+                    if self.job.door.is_unrestricted() {
                         self.next(Reason::Hedge, need);
                     }
                 }
@@ -212,14 +212,14 @@
     /// Waits, once a searcher has ended under the request, until a further attempt may be made;
     /// tells whether it may.
     async fn pass_gate(&mut self) -> bool {
-        match self.job.door.pass(self.plan.end).await {
-            Pass::Free => true,
-            Pass::Trial => {
+        match self.job.door.acquire(self.plan.end).await {
+            Permit::Unrestricted => true,
+            Permit::Trial => {
                 self.trial = true;
                 true
             }
-            Pass::Denied => false,
-            Pass::Wait => {
+            Permit::Denied => false,
+            Permit::Wait => {
                 self.lost.late = true;
                 false
             }
@@ -227,9 +227,9 @@
     }
 
     /// Tells the other races how the trial ended, if it was made here.
-    fn settle(&mut self, outcome: Outcome) {
+    fn settle(&mut self, outcome: TrialOutcome) {
         if std::mem::take(&mut self.trial) {
-            self.job.door.settle(outcome);
+            self.job.door.finish_trial(outcome);
         }
     }
 
@@ -262,9 +262,9 @@
         self.job.trouble.fail(self.service, searcher, ending, &miss.cause);
         self.relay.meter().ending(ending);
         if miss.ended {
-            self.job.door.hold();
+            self.job.door.record_crash();
         }
-        self.settle(if miss.ended { Outcome::Ended } else { Outcome::Open });
+        self.settle(if miss.ended { TrialOutcome::Crashed } else { TrialOutcome::Inconclusive });
         if ending.did_not_run() {
             self.refused += 1;
             self.arrived -= usize::from(ending == Ending::NotSent);
@@ -317,7 +317,7 @@
 impl Drop for Race<'_> {
     /// Says of a shard that was still out when the caller got the answer whom it waited for.
     fn drop(&mut self) {
-        self.settle(Outcome::Open);
+        self.settle(TrialOutcome::Inconclusive);
         let left_out = self.job.left_out.get().is_some_and(|out| out.contains(self.service));
         if self.ended || !left_out {
             return;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -12,7 +12,7 @@
 use bergamot_declaration::Declaration;
 use bergamot_dispatch::{Obstacle, Rhythm};
 use bergamot_logger::Changes;
-use bergamot_quarantine::Shared as Quarantine;
+use bergamot_quarantine::Quarantine;
 use bergamot_registry::{Registry, Upstream};
 use bergamot_wire::{Late, ShardQuery, ShardReply};
 
@@ -220,12 +220,12 @@
 
     /// Notes that the entry of a searcher disappeared.
     pub fn disappear(&self, id: &str) {
-        self.change("missing", id, |registry, now| registry.disappear(id, now));
+        self.change("missing", id, |registry, now| registry.remove_entry(id, now));
     }
 
     /// Notes that something which names no searcher stands where the entry of one may have been.
     pub fn overwrite(&self, id: &str) {
-        self.change("overwritten", id, |registry, now| registry.overwrite(id, now));
+        self.change("overwritten", id, |registry, now| registry.overwrite_entry(id, now));
     }
 
     /// Changes the registry, and notes the change for the log if it was one.
@@ -279,7 +279,7 @@
                 // A process that has known nothing can't tell how long the outage was.
                 let unknown = state.declaration.is_none();
                 if unknown || now.saturating_duration_since(since) >= self.settings.expiry() {
-                    state.registry.regained(now);
+                    state.registry.store_recovered(now);
                     state.regained = Some(now);
                 }
             }
@@ -294,7 +294,7 @@
     pub fn note_restore(&self, former: Position, at: Position) {
         let now = Instant::now();
         let mut state = self.lock();
-        state.registry.restored(now, self.settings.expiry() + EXPIRY_SLACK);
+        state.registry.store_restored(now, self.settings.expiry() + EXPIRY_SLACK);
         state.regained = Some(now);
         let (version, searchers) = (state.floor.revision(), state.registry.len());
         drop(state);
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -202,7 +202,7 @@
     /// Notes that an incarnation has ended, since another answered at its address.
     pub(crate) fn ended(&self, searcher: &Incarnation, other: Option<&str>) {
         let other = other.unwrap_or("unnamed");
-        if self.lock().registry.end(searcher) {
+        if self.lock().registry.end_incarnation(searcher) {
             log::info!(
                 "relay: event=searcher_gone searcher={searcher} cause=\"{other} has its address\""
             );
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -64,11 +64,12 @@
     fn accuse(&self, job: &Job, upstream: &Upstream, trial: bool) {
         let (request, fingerprint) = (&job.request.id, job.fingerprint());
         let strike = if trial {
-            Strike::alone(request.as_bytes(), &upstream.incarnation.to_string())
+            Strike::from_trial(request.as_bytes(), &upstream.incarnation.to_string())
         } else {
-            Strike::together(request.as_bytes())
+            Strike::from_fan_out(request.as_bytes())
         };
-        let news = self.quarantine().accuse(Instant::now(), fingerprint, strike, &upstream.service);
+        let news =
+            self.quarantine().record_strike(Instant::now(), fingerprint, strike, &upstream.service);
         let standing = match news {
             None => "known",
             Some(Standing::Condemned(_)) => "condemned",
@@ -160,7 +161,7 @@
         let own = self.settings.address;
         let owner = self.owner(fingerprint).unwrap_or(own);
         if owner == own {
-            return self.quarantine().grant(Instant::now(), fingerprint);
+            return self.quarantine().grant_trial(Instant::now(), fingerprint);
         }
         let asked = (self.helping().grant)(owner, fingerprint, Instant::now() + GRANT).await;
         asked.unwrap_or_else(|cause| {
@@ -178,7 +179,7 @@
 
     /// Clears a request that was answered whole.
     pub(crate) fn clear(&self, job: &Job, target: &Target, reply: &Reply) {
-        if !self.quarantine().is_used() {
+        if !self.quarantine().has_records() {
             return;
         }
         let whole = match reply {
@@ -194,7 +195,7 @@
 
     fn acquit(&self, job: &Job, services: &[Name]) {
         let (request, fingerprint) = (&job.request.id, job.fingerprint());
-        if self.quarantine().acquit(fingerprint, services) {
+        if self.quarantine().record_answer(fingerprint, services) {
             self.meter().quarantine.with_label_values(&["cleared"]).inc();
             log::info!(
                 "relay: event=request_cleared request={request:?} fingerprint={fingerprint}"
--- a/crates/relay/tests/coverage.rs
+++ b/crates/relay/tests/coverage.rs
@@ -41,7 +41,7 @@
     publish(Upstream { state: State::Draining, ..at("3", "c", "west") });
     assert_eq!(zones(&relay), [("here".to_owned(), 2)]);
     let start = Instant::now();
-    relay.with_registry(|known| known.disappear("1", start));
+    relay.with_registry(|known| known.remove_entry("1", start));
     relay.with_registry(|known| known.expire(start + Duration::from_secs(9), false));
     assert_eq!(zones(&relay), [("here".to_owned(), 1)]);
 }
--- a/crates/relay/tests/fatal.rs
+++ b/crates/relay/tests/fatal.rs
@@ -141,12 +141,12 @@
 async fn an_instance_that_was_not_told_of_verdicts_takes_no_request() {
     let all = searchers(&["a"], 1).await;
     let relay = relay_before(&all, Target::Service("a".into()));
-    relay.quarantine().set_informed(false);
+    relay.quarantine().set_synced(false);
     let Reply::Refused(refusal) = relay.handle(request("/q/")).await else {
         panic!("it is not ready");
     };
     assert!(refusal.cause == Cause::NotReady && refusal.retry_after.is_some());
     assert!(all[0].1.seen().is_empty());
-    relay.quarantine().set_informed(true);
+    relay.quarantine().set_synced(true);
     assert!(matches!(relay.handle(request("/q/")).await, Reply::Passed(_)));
 }
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -13,7 +13,7 @@
 
 /// The searcher `i1` of service `s` with the millisecond of its start.
 fn born(born: u64, at: &Script) -> Upstream {
-    let incarnation = Incarnation { id: "i1".into(), born: Some(born) };
+    let incarnation = Incarnation { id: "i1".into(), start_time_ms: Some(born) };
     Upstream { incarnation, ..upstream("i1", "s", at) }
 }
 
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -60,7 +60,7 @@
 
 /// The only start of a searcher.
 pub fn incarnation(id: &str) -> Incarnation {
-    Incarnation { id: id.into(), born: None }
+    Incarnation { id: id.into(), start_time_ms: None }
 }
 
 /// A searcher of a service, with an identifier.
