--- a/crates/query/src/coverage.rs
+++ b/crates/query/src/coverage.rs
@@ -1,32 +1,32 @@
-//! How much of a service an answer covers.
+//! Coverage of a query result.
 //!
-//! Coverage is counted in shards of the pinned map. Invariant: `complete` holds
-//! only when every shard that the query had to ask answered for the pin, and each
-//! shard that did not is named with the reason.
+//! Coverage is counted in shards of the pinned partition map. Invariant: `complete`
+//! is true only if every shard that had to be queried answered for the pin, and
+//! every shard that did not is listed with a reason.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Why a shard is missing from an answer.
+/// Why a shard is missing from a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// No answer came in time.
+    /// No reply arrived before the deadline.
     Deadline,
     /// No replica could be reached.
     Unreachable,
-    /// Every replica refused the work for lack of room.
+    /// Every replica rejected the request because it was at capacity.
     Busy,
     /// No replica holds the pinned version.
     VersionGone,
-    /// A replica answered for another snapshot.
+    /// A replica answered from a different snapshot.
     WrongSnapshot,
-    /// The reply could not be understood.
+    /// The reply could not be decoded.
     BadReply,
-    /// Every replica is leaving.
+    /// Every replica is shutting down.
     Leaving,
-    /// Searchers ended under the same query, so no further one is asked.
+    /// The query has already crashed searchers, so it is not sent to any more of them.
     Withheld,
 }
 
@@ -45,29 +45,29 @@
     }
 }
 
-/// A shard that is missing from an answer, by its position in the map.
+/// A shard that is missing from a result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Missing {
-    /// The position of the shard in the service's partition map.
+    /// Index of the shard in the service's partition map.
     pub shard: usize,
-    /// Why it is missing.
+    /// Why the shard is missing.
     pub reason: Reason,
 }
 
-/// What an answer covers.
+/// The shards that a result includes and those that it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// The shards of the pinned map.
+    /// Number of shards in the pinned partition map.
     pub map: usize,
-    /// The shards that the query had to ask.
+    /// Number of shards that had to be queried.
     pub asked: usize,
-    /// The shards whose answers are in.
+    /// Number of shards whose results were merged.
     pub answered: usize,
-    /// The documents that the answering shards hold.
+    /// Total number of documents in the shards that answered.
     pub documents: u64,
-    /// The shards that were asked and are not in.
+    /// Shards that were queried but whose results were not merged.
     pub missing: Vec<Missing>,
-    /// Whether every shard that had to be asked is in.
+    /// Whether every shard that had to be queried was merged.
     pub complete: bool,
 }
 
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,9 +1,10 @@
-//! Shapes, snapshot pins, merge and coverage of queries.
+//! Query shapes, snapshot pins, result merging and coverage.
 //!
 //! A query pins one snapshot of a service's index when it is planned
-//! ([`Pin`]). [`Merge`] accepts a shard's answer only for that pin, counts each
-//! shard once, and [`Coverage`] states what the answer covers. The decisions are
-//! pure; sockets belong to the services. See `docs/design/0003-snapshot-and-coverage.md`.
+//! ([`Pin`]). [`Merge`] accepts a shard's result only if it matches that pin and
+//! counts each shard at most once. [`Coverage`] reports which shards the merged
+//! result includes. This crate performs no I/O. See
+//! `docs/design/0003-snapshot-and-coverage.md`.
 
 mod coverage;
 mod merge;
--- a/crates/query/src/merge.rs
+++ b/crates/query/src/merge.rs
@@ -1,9 +1,10 @@
-//! The merge of shards' answers into one answer of one snapshot.
+//! Merges per-shard results into one result for one snapshot.
 //!
-//! The merge is the last place where a wrong answer can be stopped, so it trusts
-//! nobody: it checks the pin of each partial answer, that the shard was asked, and
-//! that it has not answered before. Invariant: after any sequence of offers, the
-//! hits are those of distinct asked shards, all for the pin.
+//! Merging is the last point at which an incorrect result can be rejected, so every
+//! partial result is validated here whatever its origin: its pin must match, its
+//! shard must have been queried, and the shard must not have answered before.
+//! Invariant: after any sequence of [`Merge::offer`] calls, the hits come from
+//! distinct queried shards, and all of them match the pin.
 
 use std::collections::BTreeMap;
 
@@ -14,36 +15,36 @@
 use crate::pin::Pin;
 use crate::shape::{Hit, Shape};
 
-/// One shard's answer.
+/// The result of one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Partial {
     /// The shard.
     pub shard: Shard,
-    /// The snapshot from which the searcher answered.
+    /// The snapshot that the searcher read.
     pub pin: Pin,
-    /// How many documents the shard holds at that snapshot.
+    /// Number of documents in the shard at that snapshot.
     pub documents: u64,
     /// The hits.
     pub hits: Vec<Hit>,
 }
 
-/// Why the merge refused a partial answer.
+/// Why a partial result was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The shard was not asked.
+    /// The shard was not queried.
     NotAsked,
-    /// The shard has answered already.
+    /// The shard's result was already merged.
     Repeated,
-    /// The answer is for another snapshot.
+    /// The result is for a different snapshot.
     WrongSnapshot,
 }
 
-/// A merged answer with its coverage.
+/// A merged result and its coverage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The hits, in the order of the shape.
+    /// The hits, ordered as the query shape requires.
     pub hits: Vec<Hit>,
-    /// What they cover.
+    /// The shards that the hits come from.
     pub coverage: Coverage,
 }
 
@@ -52,69 +53,70 @@
 pub struct Merge {
     pin: Pin,
     map: usize,
-    shards: BTreeMap<Shard, Slot>,
+    shards: BTreeMap<Shard, ShardState>,
     documents: u64,
     hits: Vec<Hit>,
 }
 
-/// What became of a shard so far, with its position in the map.
+/// The state of one queried shard; `position` is its index in the partition map.
 #[derive(Debug)]
-struct Slot {
+struct ShardState {
     position: usize,
     answered: bool,
     reason: Reason,
 }
 
 impl Merge {
-    /// Starts a merge over the shards to be asked, each with its map position.
+    /// Creates a merge over the queried shards, each with its index in the partition map.
     pub fn new(pin: Pin, map: usize, asked: impl IntoIterator<Item = (Shard, usize)>) -> Self {
-        let slot = |position| Slot { position, answered: false, reason: Reason::Deadline };
-        let shards = asked.into_iter().map(|(shard, position)| (shard, slot(position))).collect();
+        let pending = |position| ShardState { position, answered: false, reason: Reason::Deadline };
+        let shards =
+            asked.into_iter().map(|(shard, position)| (shard, pending(position))).collect();
         Self { pin, map, shards, documents: 0, hits: Vec::new() }
     }
 
-    /// Takes a partial answer in, or refuses it.
+    /// Merges a partial result, or rejects it.
     pub fn offer(&mut self, partial: Partial) -> Result<(), Rejection> {
-        let slot = self.shards.get_mut(&partial.shard).ok_or(Rejection::NotAsked)?;
-        if slot.answered {
+        let state = self.shards.get_mut(&partial.shard).ok_or(Rejection::NotAsked)?;
+        if state.answered {
             return Err(Rejection::Repeated);
         }
         if partial.pin != self.pin {
-            slot.reason = Reason::WrongSnapshot;
+            state.reason = Reason::WrongSnapshot;
             return Err(Rejection::WrongSnapshot);
         }
-        slot.answered = true;
+        state.answered = true;
         self.documents += partial.documents;
         self.hits.extend(partial.hits);
         Ok(())
     }
 
-    /// Records why a shard did not answer; an answer that came stays.
+    /// Records why a shard did not answer. A result that was already merged is kept.
     pub fn miss(&mut self, shard: Shard, reason: Reason) {
-        if let Some(slot) = self.shards.get_mut(&shard) {
-            slot.reason = reason;
+        if let Some(state) = self.shards.get_mut(&shard) {
+            state.reason = reason;
         }
     }
 
     /// Returns the shards that have not answered.
     pub fn open(&self) -> Vec<Shard> {
-        self.shards.iter().filter(|(_, slot)| !slot.answered).map(|(shard, _)| *shard).collect()
+        self.shards.iter().filter(|(_, state)| !state.answered).map(|(shard, _)| *shard).collect()
     }
 
-    /// Tells whether every shard that was asked has answered.
+    /// Returns whether every queried shard has answered.
     pub fn whole(&self) -> bool {
-        self.shards.values().all(|slot| slot.answered)
+        self.shards.values().all(|state| state.answered)
     }
 
-    /// Closes the merge and states what it covers.
+    /// Returns the sorted hits and their coverage.
     pub fn finish(mut self, shape: &Shape) -> Outcome {
         shape.arrange(&mut self.hits);
         let asked = self.shards.len();
         let missing: Vec<_> = self
             .shards
             .values()
-            .filter(|slot| !slot.answered)
-            .map(|slot| Missing { shard: slot.position, reason: slot.reason })
+            .filter(|state| !state.answered)
+            .map(|state| Missing { shard: state.position, reason: state.reason })
             .collect();
         let coverage = Coverage {
             map: self.map,
--- a/crates/query/src/pin.rs
+++ b/crates/query/src/pin.rs
@@ -1,9 +1,9 @@
-//! The snapshot that a query reads.
+//! Snapshot selection for queries.
 //!
-//! Index versions roll out searcher by searcher. A query pins the newest version
+//! Index versions roll out one searcher at a time. A query pins the newest version
 //! that a live replica of every shard holds, together with the epoch of the
-//! partition map and the revision of the document, and carries the pin with each
-//! sub-query. Invariant: no answer for another pin is ever merged.
+//! partition map and the revision of the configuration document, and sends the pin
+//! with each sub-query. Invariant: results for a different pin are never merged.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,14 +11,14 @@
 use bergamot_base::{Epoch, Revision, Service, Shard, Version};
 use serde::{Deserialize, Serialize};
 
-/// One snapshot of a service's index.
+/// Identifies one snapshot of a service's index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Pin {
-    /// The revision of the document under which the query was planned.
+    /// Revision of the configuration document that the query was planned with.
     pub revision: Revision,
-    /// The epoch of the partition map.
+    /// Epoch of the partition map.
     pub epoch: Epoch,
-    /// The version of the index.
+    /// Index version.
     pub version: Version,
 }
 
@@ -28,36 +28,39 @@
     }
 }
 
-/// The versions that each shard can serve, as far as this process knows.
+/// The index versions that each shard is known to serve.
 ///
-/// A gather fills it from the searchers it homes; an entry from its gathers.
+/// A gather fills it from the searchers that it connects to, and an entry from
+/// the replies of gathers.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     shards: BTreeMap<Shard, BTreeSet<Version>>,
 }
 
 impl Catalog {
-    /// Replaces what is known of a shard.
+    /// Replaces the known versions of a shard.
     pub fn learn(&mut self, shard: Shard, versions: impl IntoIterator<Item = Version>) {
         self.shards.insert(shard, versions.into_iter().collect());
     }
 
-    /// Forgets everything, as when a new document renumbers the shards.
+    /// Removes all entries. Needed when a new document renumbers the shards.
     pub fn clear(&mut self) {
         self.shards.clear();
     }
 
-    /// Returns the newest version that every one of the shards holds.
+    /// Returns the newest version that all of the given shards hold.
     ///
-    /// Shards of which nothing is known don't vote: the query finds out.
+    /// Shards without known versions are ignored: the query itself will show whether
+    /// they hold the version.
     pub fn newest(&self, shards: &[Shard]) -> Option<Version> {
         self.common(shards).and_then(|versions| versions.last().copied())
     }
 
-    /// Returns the newest common version, or else the newest that most shards hold.
+    /// Returns the newest common version, or else the version that most shards hold,
+    /// the newest in case of a tie.
     ///
-    /// With no common version no whole answer exists; the one that covers the
-    /// largest part is the most useful truthful answer.
+    /// Without a common version no complete result is possible, and the version that
+    /// most shards hold gives the largest consistent partial result.
     pub fn best(&self, shards: &[Shard]) -> Option<Version> {
         self.newest(shards).or_else(|| {
             let mut counts = BTreeMap::<Version, usize>::new();
@@ -74,7 +77,7 @@
         Some(known.fold(first, |common, versions| &common & versions))
     }
 
-    /// Returns the versions common to all known shards of each service.
+    /// Returns, for each service, the versions common to all of its known shards.
     pub fn digest(&self, service_of: impl Fn(Shard) -> Service) -> Vec<(Service, Vec<Version>)> {
         let mut services = BTreeMap::<Service, BTreeSet<Version>>::new();
         for (shard, versions) in &self.shards {
--- a/crates/query/src/shape.rs
+++ b/crates/query/src/shape.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, and what a shard finds.
+//! Query shapes and hits.
 
 use std::fmt;
 
@@ -6,23 +6,23 @@
 use bergamot_config::row::ServiceRow;
 use serde::{Deserialize, Serialize};
 
-/// The largest number of hits that a caller may ask for.
-pub const MOST_HITS: u32 = 10_000;
+/// Maximum number of hits that a caller may request.
+pub const MAX_HITS: u32 = 10_000;
 
-/// The shape of a query.
+/// The kind of a query and its parameters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// Every document of every shard, in the order of their keys.
+    /// All documents of all shards, ordered by key.
     Scan,
-    /// The `k` documents of the lowest rank.
+    /// The `k` documents with the lowest rank.
     Top {
-        /// How many documents are wanted.
+        /// Maximum number of documents to return.
         k: u32,
     },
-    /// The one document of a key.
+    /// The document with the given key.
     Record {
-        /// The key.
+        /// The document's key.
         key: Name,
     },
 }
@@ -38,7 +38,7 @@
 }
 
 impl Shape {
-    /// Returns the shards that a query of this shape must ask.
+    /// Returns the shards that must be queried for this shape.
     pub fn shards(&self, service: &ServiceRow) -> Vec<bergamot_base::Shard> {
         match self {
             Self::Scan | Self::Top { .. } => service.shards.clone(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Puts the hits of all shards into the answer's order and cuts them to size.
+    /// Sorts the combined hits of all shards and truncates them to the requested number.
     pub fn arrange(&self, hits: &mut Vec<Hit>) {
         match self {
             Self::Scan | Self::Record { .. } => hits.sort_unstable_by(|a, b| a.key.cmp(&b.key)),
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Says what is wrong with the shape, if anything.
+    /// Returns the allowed parameter range if this shape violates it.
     pub fn flaw(&self) -> Option<&'static str> {
         match self {
-            Self::Top { k } if *k == 0 || *k > MOST_HITS => Some("k from 1 to 10000"),
+            Self::Top { k } if *k == 0 || *k > MAX_HITS => Some("k from 1 to 10000"),
             Self::Record { key } if key.is_empty() || key.len() > 256 => {
                 Some("a key of 1 to 256 bytes")
             }
@@ -69,13 +69,13 @@
     }
 }
 
-/// A document that matched.
+/// A matching document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hit {
-    /// The key of the document, unique within a service.
+    /// Key of the document, unique within a service.
     pub key: Name,
-    /// The rank, lowest first.
+    /// Rank; lower ranks sort first.
     pub rank: u64,
-    /// The document as the searcher gave it.
+    /// The document as returned by the searcher.
     pub body: Name,
 }
--- a/crates/query/tests/filetests.rs
+++ b/crates/query/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Traces of the catalog of versions and of the merge.
+//! Trace tests of the version catalog and of the merge.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/query/tests/properties.rs
+++ b/crates/query/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the merge under any order of offers.
+//! Property tests: the invariants of `Merge` hold for any sequence of partial results.
 
 use bergamot_base::{Entity, Name, Shard};
 use bergamot_query::{Hit, Merge, Partial, Pin, Reason, Shape};
@@ -7,7 +7,7 @@
 const PIN: Pin = Pin { revision: 3, epoch: 2, version: 7 };
 const SHARDS: usize = 6;
 
-/// An answer that may be for a wrong snapshot or a shard that was not asked.
+/// Generates a partial result, possibly for a wrong snapshot or a shard that was not queried.
 fn partial() -> impl Strategy<Value = Partial> {
     (0..SHARDS + 2, 6_u64..9, 1_u64..4, 0_u64..100).prop_map(|(shard, version, epoch, rank)| {
         let key = Name::from(format!("{shard}-{rank}"));
@@ -23,14 +23,14 @@
 
 proptest! {
     #[test]
-    fn nothing_but_the_pin_is_merged_and_every_shard_counts_once(
+    fn only_results_for_the_pin_are_merged_and_each_shard_counts_once(
         partials in proptest::collection::vec(partial(), 0..30),
     ) {
         let asked = (0..SHARDS).map(|i| (Shard::from_index(i), i));
         let mut merge = Merge::new(PIN, SHARDS, asked);
         for partial in partials {
             merge.miss(partial.shard, Reason::Busy);
-            // Refusals are part of the property.
+            // Rejections are expected: the generator also produces invalid results.
             let _ = merge.offer(partial);
         }
         let whole = merge.whole();
