--- a/crates/write/src/key.rs
+++ b/crates/write/src/key.rs
@@ -1,8 +1,8 @@
-//! The text form of write keys: `incarnation-window-unique`.
+//! The text format of write keys: `incarnation-window-unique`.
 //!
-//! The incarnation names the run of an entry that may execute the key. The window
-//! counts that run's own clock in steps of the key lifetime, so that the run can
-//! tell a key that it may have forgotten from a fresh one.
+//! The incarnation identifies the process run of an entry that may execute the key.
+//! The window is that run's clock divided by the key lifetime. It lets the run
+//! distinguish a new key from one whose outcome may already have been removed.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,15 +10,15 @@
 use bergamot_base::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 
-/// The longest unique part, in bytes.
-const LONGEST_UNIQUE: usize = 128;
+/// Maximum length of the unique part, in bytes.
+const MAX_UNIQUE_LEN: usize = 128;
 
-/// The part of a key that an entry hands out with its address answers.
+/// The part of a key that an entry issues in its `/v1/addresses` responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Prefix {
-    /// The run of an entry that may execute the key.
+    /// The entry incarnation that may execute the key.
     pub incarnation: Incarnation,
-    /// The window of that run's clock in which the prefix was issued.
+    /// The window of that incarnation's clock in which the prefix was issued.
     pub window: u64,
 }
 
@@ -28,20 +28,20 @@
     }
 }
 
-/// A write key.
+/// An idempotency key of a write.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The prefix that an entry issued.
+    /// The prefix issued by an entry.
     pub prefix: Prefix,
-    /// The part that the caller chose.
+    /// The part chosen by the caller.
     pub unique: Name,
 }
 
-/// A text that is not a write key.
+/// The error for text that is not a valid write key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Flaw;
+pub struct InvalidKey;
 
-impl fmt::Display for Flaw {
+impl fmt::Display for InvalidKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(
             "a write_prefix from /v1/addresses, a hyphen and 1 to 128 of A-Z, a-z, 0-9, _ and -",
@@ -50,20 +50,20 @@
 }
 
 impl FromStr for Key {
-    type Err = Flaw;
+    type Err = InvalidKey;
 
-    fn from_str(text: &str) -> Result<Self, Flaw> {
+    fn from_str(text: &str) -> Result<Self, InvalidKey> {
         let mut parts = text.splitn(3, '-');
-        let mut part = || parts.next().ok_or(Flaw);
+        let mut part = || parts.next().ok_or(InvalidKey);
         let (incarnation, window, unique) = (part()?, part()?, part()?);
-        let number = |text: &str| u64::from_str_radix(text, 16).ok();
+        let parse_hex = |text: &str| u64::from_str_radix(text, 16).ok();
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'-';
-        if !(1..=LONGEST_UNIQUE).contains(&unique.len()) || !unique.bytes().all(allowed) {
-            return Err(Flaw);
+        if !(1..=MAX_UNIQUE_LEN).contains(&unique.len()) || !unique.bytes().all(allowed) {
+            return Err(InvalidKey);
         }
         let prefix = Prefix {
-            incarnation: number(incarnation).ok_or(Flaw)?,
-            window: number(window).ok_or(Flaw)?,
+            incarnation: parse_hex(incarnation).ok_or(InvalidKey)?,
+            window: parse_hex(window).ok_or(InvalidKey)?,
         };
         Ok(Self { prefix, unique: Name::from(unique) })
     }
--- a/crates/write/src/outcome.rs
+++ b/crates/write/src/outcome.rs
@@ -1,19 +1,19 @@
-//! What became of a write.
+//! Outcomes of writes.
 
 use std::fmt;
 
 use bergamot_base::Name;
 use serde::{Deserialize, Serialize};
 
-/// The three answers that a caller can get.
+/// The status of a write, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// The searcher confirmed the effect.
+    /// The searcher confirmed that the write took effect.
     Done,
-    /// Nothing was sent, or the searcher said that it did not run.
+    /// The write was not sent, or the searcher reported that it did not run.
     NotRun,
-    /// It may have run: the caller settles the matter by reading the ledger.
+    /// The write may have run. The caller has to read the ledger to find out.
     Unknown,
 }
 
@@ -27,19 +27,19 @@
     }
 }
 
-/// What became of a write, and why.
+/// The result of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The answer.
+    /// Whether the write took effect.
     pub status: Status,
-    /// The reason, in a short sentence.
+    /// Short human-readable reason for the status.
     pub reason: Name,
-    /// What the searcher gave back for a write that is done.
+    /// The searcher's receipt, if the write is done.
     pub receipt: Option<Name>,
 }
 
 impl Outcome {
-    /// Reports a write that took effect.
+    /// Creates the outcome of a write that took effect.
     pub fn done(receipt: impl Into<Name>) -> Self {
         Self {
             status: Status::Done,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Reports a write that did not run.
+    /// Creates the outcome of a write that did not run.
     pub fn not_run(reason: impl Into<Name>) -> Self {
         Self { status: Status::NotRun, reason: reason.into(), receipt: None }
     }
 
-    /// Reports a write of which nobody can say whether it ran.
+    /// Creates the outcome of a write that may or may not have run.
     pub fn unknown(reason: impl Into<Name>) -> Self {
         Self { status: Status::Unknown, reason: reason.into(), receipt: None }
     }
--- a/crates/write/tests/filetests.rs
+++ b/crates/write/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Traces of the owner of write keys.
+//! Trace tests of `Owner`.
 
 use std::error::Error;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use bergamot_filetest::{check, trace};
 use bergamot_write::{Decision, Key, Outcome, Owner};
 
-/// The window of the traces' owner; its incarnation is `a`.
+/// The key window of the owner under test; its incarnation is `a`.
 const WINDOW: Duration = Duration::from_secs(1);
 
 fn owner(path: &Path) -> Result<(), Box<dyn Error>> {
@@ -25,7 +25,7 @@
         ["start"] => owner.prefix(now).to_string(),
         ["begin", key, digest] => match key.parse::<Key>() {
             Ok(key) => begin(owner, now, &key, digest.parse().unwrap_or(0)),
-            Err(flaw) => format!("bad key, allowed: {flaw}"),
+            Err(error) => format!("bad key, allowed: {error}"),
         },
         ["finish", key, status] => {
             let Ok(key) = key.parse::<Key>() else {
