--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -1,10 +1,11 @@
 //! Requests to one searcher.
 //!
-//! A sub-query waits for a slot, takes a connection, checks once more whether it
-//! may still be sent, and is sent. A cancelled sub-query is cancelled at the
-//! searcher by name and its reply is drained, so that the connection survives and no
-//! late reply is ever taken for another request's. A write is sent once: after its
-//! first byte may have left, every doubt is [`Effect::Unknown`].
+//! A sub-query waits for a slot, leases a connection, checks again whether it may still
+//! be sent, and is then sent. To cancel it, the client sends a cancellation with the
+//! request's identifier to the searcher and drains the response. This keeps the
+//! connection usable, and a late response is never taken for that of another request.
+//! A write is sent at most once: if any byte of it may have been sent and the result is
+//! uncertain, the outcome is [`Effect::Unknown`].
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,27 +24,27 @@
 use crate::health::Health;
 use crate::pool::{Lease, Pool};
 use crate::protocol::{self, Found, Receipt, Search, Write};
-use crate::slots::{Entry, Slots};
+use crate::slots::{Admission, Slots};
 
-/// The largest reply that is read, in bytes.
-const LARGEST_REPLY: usize = 16 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_LEN: usize = 16 << 20;
 
-/// How long the reply to a cancelled request is awaited before its connection closes.
-const DRAIN: Duration = Duration::from_millis(250);
+/// How long to wait for the response to a cancelled request before closing its connection.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// An error of an exchange with a searcher.
+/// An error in communication with a searcher.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} {peer}: {cause} ({reason})"))]
 pub struct Fault {
-    /// What was being done.
+    /// The operation that failed.
     pub step: Step,
     /// The searcher.
     pub peer: Peer,
-    /// What went wrong.
+    /// Description of the cause.
     pub cause: String,
-    /// What the fault means for coverage.
+    /// The reason to report in the query's coverage.
     pub reason: Reason,
-    /// Whether the connection ended before the reply to a request that was sent.
+    /// Whether the connection ended after the request was sent and before its response.
     pub cut: bool,
 }
 
@@ -52,34 +53,34 @@
         Self { step, peer, cause: cause.to_owned(), reason: Reason::Unreachable, cut: false }
     }
 
-    fn because(self, reason: Reason) -> Self {
+    fn with_reason(self, reason: Reason) -> Self {
         Self { reason, ..self }
     }
 }
 
-/// What a call carries besides its content.
+/// Metadata of one request attempt.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The name of this attempt, unique over the fleet.
+    /// Identifier of this attempt, unique across all instances.
     pub id: Name,
-    /// When the answer is of no use any more.
+    /// Time after which the response is no longer useful.
     pub deadline: Deadline,
     /// Cancels the attempt.
     pub cancel: CancellationToken,
 }
 
-/// What became of a write.
+/// The result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The searcher confirmed it.
+    /// The searcher confirmed the write with this receipt.
     Done(Name),
-    /// Nothing was sent, or the searcher said that it did not run.
+    /// The write was not sent, or the searcher reported that it did not run.
     NotRun(String),
-    /// It may have run.
+    /// The write may or may not have run.
     Unknown(String),
 }
 
-/// One searcher as one home sees it.
+/// A client of one searcher: its connection pool, its request queue and its health.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -89,19 +90,19 @@
 }
 
 impl Client {
-    /// Makes the client of a searcher.
+    /// Creates the client of a searcher.
     pub fn new(
         address: SocketAddr,
         pool: Arc<Pool>,
         slots: usize,
         queue: usize,
-        guess: Duration,
+        initial_latency: Duration,
     ) -> Arc<Self> {
         Arc::new(Self {
             address,
             pool,
             slots: Mutex::new(Slots::new(slots, queue)),
-            health: Mutex::new(Health::new(guess)),
+            health: Mutex::new(Health::new(initial_latency)),
         })
     }
 
@@ -110,43 +111,46 @@
         self.address
     }
 
-    /// Returns the connections.
+    /// Returns the connection pool.
     pub fn pool(&self) -> &Arc<Pool> {
         &self.pool
     }
 
-    /// Returns what is known of the searcher.
+    /// Locks and returns the observed health of the searcher.
     pub fn health(&self) -> MutexGuard<'_, Health> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the queue before the searcher's slots.
+    /// Locks and returns the queue for the searcher's slots.
     pub fn slots(&self) -> MutexGuard<'_, Slots<oneshot::Sender<()>>> {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs a sub-query. `may_send` is asked at the last moment before bytes leave.
+    /// Runs a sub-query. `may_send` is called immediately before the request is sent.
     pub async fn search(
         self: &Arc<Self>,
         call: &Call,
         search: &Search,
         may_send: impl Fn() -> bool,
     ) -> Result<Found, Fault> {
-        let mut slot = self.enter(call).await?;
+        let mut slot = self.acquire_slot(call).await?;
         let lease = tokio::select! {
             biased;
             () = call.cancel.cancelled() => return Err(self.fault("take a connection", "cancelled")),
-            lease = self.pool.lease(call.deadline) => lease.inspect_err(|_| self.failed())?,
+            lease = self.pool.lease(call.deadline) => lease.inspect_err(|_| self.record_failure())?,
         };
-        if !self.may_start(call, &may_send) {
+        if !self.may_send_now(call, &may_send) {
             lease.give_back().await;
-            return Err(self.fault("send", "no longer allowed").because(Reason::Deadline));
+            return Err(self
+                .fault("send", "sending is no longer allowed")
+                .with_reason(Reason::Deadline));
         }
         let request = self.request(Method::POST, protocol::SEARCH, call, search);
         let started = Instant::now();
         let (client, call) = (Arc::clone(self), call.clone());
-        // The exchange goes on after the caller has lost interest, to keep the
-        // connection clean and the slot truthfully taken until the searcher is done.
+        // The exchange runs in its own task, so that it continues if the caller drops this
+        // future. The response is then still drained, and the slot stays in use until the
+        // searcher has finished.
         let exchange = tokio::spawn(async move {
             let reply = client.exchange(lease, request, &call).await;
             slot.took = reply.is_ok().then(|| started.elapsed());
@@ -154,10 +158,10 @@
             reply
         });
         let reply = exchange.await.map_err(|error| self.fault("send", &error.to_string()))??;
-        self.read(&reply, started.elapsed())
+        self.decode_search(&reply, started.elapsed())
     }
 
-    /// Sends a write, once.
+    /// Sends a write at most once.
     pub async fn write(
         self: &Arc<Self>,
         call: &Call,
@@ -165,7 +169,7 @@
         write: &Write,
         may_send: impl Fn() -> bool,
     ) -> Effect {
-        let slot = match self.enter(call).await {
+        let slot = match self.acquire_slot(call).await {
             Ok(slot) => slot,
             Err(fault) => return Effect::NotRun(fault.to_string()),
         };
@@ -177,15 +181,15 @@
         if let Ok(value) = key.parse() {
             request.headers_mut().insert(protocol::KEY, value);
         }
-        if !self.may_start(call, &may_send) {
+        if !self.may_send_now(call, &may_send) {
             lease.give_back().await;
             return Effect::NotRun(
                 "no longer allowed at the last moment before sending".to_owned(),
             );
         }
         let sent = lease.sender().try_send_request(request);
-        let outcome = tokio::time::timeout_at(call.deadline.instant().into(), sent).await;
-        let effect = match outcome {
+        let result = tokio::time::timeout_at(call.deadline.instant().into(), sent).await;
+        let effect = match result {
             Err(_elapsed) => {
                 Effect::Unknown("the deadline passed after the write was sent".to_owned())
             }
@@ -195,44 +199,44 @@
             Ok(Err(error)) => {
                 Effect::Unknown(format!("the connection failed after sending: {}", error.error()))
             }
-            Ok(Ok(response)) => self.effect(lease, response, call).await,
+            Ok(Ok(response)) => self.write_effect(lease, response, call).await,
         };
         drop(slot);
         effect
     }
 
-    /// Asks for the status, to learn the run, its versions and whether it leaves.
+    /// Requests the searcher's status to update its run, its versions and whether it is leaving.
     pub async fn status(self: &Arc<Self>, deadline: Deadline) -> Result<(), Fault> {
         let call = Call { id: Name::from("status"), deadline, cancel: CancellationToken::new() };
-        let lease = self.pool.lease(deadline).await.inspect_err(|_| self.failed())?;
+        let lease = self.pool.lease(deadline).await.inspect_err(|_| self.record_failure())?;
         let request = self.request(Method::GET, protocol::STATUS, &call, &());
         self.exchange(lease, request, &call).await.map(|_reply| ())
     }
 
-    async fn enter(self: &Arc<Self>, call: &Call) -> Result<Slot, Fault> {
+    async fn acquire_slot(self: &Arc<Self>, call: &Call) -> Result<Slot, Fault> {
         let (sender, receiver) = oneshot::channel();
-        let entry = self.slots().enter(Instant::now(), call.deadline, sender);
-        match entry {
-            Entry::Go => Ok(Slot { client: Arc::clone(self), took: None }),
-            Entry::Refuse(after) => {
+        let admission = self.slots().acquire(Instant::now(), call.deadline, sender);
+        match admission {
+            Admission::Admitted => Ok(Slot { client: Arc::clone(self), took: None }),
+            Admission::Rejected(after) => {
                 let cause = format!("the queue is full, come back in {} ms", after.as_millis());
-                Err(self.fault("wait for a slot", &cause).because(Reason::Busy))
+                Err(self.fault("wait for a slot", &cause).with_reason(Reason::Busy))
             }
-            Entry::Wait => {
-                let waiting = Waiting { client: self, receiver: Some(receiver) };
+            Admission::Queued => {
+                let queued = QueuedRequest { client: self, receiver: Some(receiver) };
                 tokio::select! {
-                    slot = waiting.slot() => slot,
+                    slot = queued.slot() => slot,
                     () = call.cancel.cancelled() => Err(self.fault("wait for a slot", "cancelled")),
                     () = tokio::time::sleep_until(call.deadline.instant().into()) => {
-                        Err(self.fault("wait for a slot", "deadline").because(Reason::Deadline))
+                        Err(self.fault("wait for a slot", "deadline").with_reason(Reason::Deadline))
                     }
                 }
             }
         }
     }
 
-    /// The checks at the last moment before bytes leave.
-    fn may_start(&self, call: &Call, may_send: &impl Fn() -> bool) -> bool {
+    /// Checks immediately before sending whether the request may still be sent.
+    fn may_send_now(&self, call: &Call, may_send: &impl Fn() -> bool) -> bool {
         let leaving = self.health().is_leaving();
         !leaving
             && !call.deadline.passed(Instant::now())
@@ -259,7 +263,8 @@
             .expect("the parts of a request are valid")
     }
 
-    /// Sends a request and reads the whole reply, or cancels it at the searcher.
+    /// Sends a request and reads the complete response. If the request is cancelled or its
+    /// deadline passes, cancels it at the searcher and drains the response.
     async fn exchange(
         self: &Arc<Self>,
         mut lease: Lease,
@@ -268,20 +273,20 @@
     ) -> Result<Response<Bytes>, Fault> {
         let sent = lease.sender().send_request(request);
         let mut reply = Box::pin(async move {
-            let response = sent.await.map_err(|error| self.broken("send", &error))?;
-            self.note(&response);
-            self.collect(response).await
+            let response = sent.await.map_err(|error| self.connection_fault("send", &error))?;
+            self.record_headers(&response);
+            self.read_body(response).await
         });
-        let abandon = tokio::time::sleep_until(call.deadline.instant().into());
+        let expired = tokio::time::sleep_until(call.deadline.instant().into());
         let answer = tokio::select! {
             answer = &mut reply => answer,
             () = call.cancel.cancelled() => {
                 self.cancel(call);
-                self.drained(&mut reply).await
+                self.drain(&mut reply).await
             }
-            () = abandon => {
+            () = expired => {
                 self.cancel(call);
-                self.drained(&mut reply).await
+                self.drain(&mut reply).await
             }
         };
         drop(reply);
@@ -291,23 +296,25 @@
         answer
     }
 
-    async fn drained(
+    async fn drain(
         &self,
         reply: impl Future<Output = Result<Response<Bytes>, Fault>>,
     ) -> Result<Response<Bytes>, Fault> {
-        tokio::time::timeout(DRAIN, reply).await.unwrap_or_else(|_elapsed| {
-            Err(self.fault("read reply", "late").because(Reason::Deadline))
+        tokio::time::timeout(DRAIN_TIMEOUT, reply).await.unwrap_or_else(|_elapsed| {
+            Err(self
+                .fault("read reply", "no reply to the cancelled request in time")
+                .with_reason(Reason::Deadline))
         })
     }
 
-    /// Cancels a request at the searcher by its name, if a connection is free for it.
+    /// Sends the searcher a cancellation of the request, if a connection is idle.
     fn cancel(self: &Arc<Self>, call: &Call) {
         let Some(mut lease) = self.pool.lease_idle() else {
             return;
         };
         let path = format!("{}{}", protocol::REQUESTS, call.id);
         let request = self.request(Method::DELETE, &path, call, &());
-        tokio::spawn(tokio::time::timeout(DRAIN, async move {
+        tokio::spawn(tokio::time::timeout(DRAIN_TIMEOUT, async move {
             if let Ok(response) = lease.sender().send_request(request).await
                 && response.into_body().collect().await.is_ok()
             {
@@ -316,69 +323,74 @@
         }));
     }
 
-    async fn collect(
+    async fn read_body(
         &self,
         response: Response<hyper::body::Incoming>,
     ) -> Result<Response<Bytes>, Fault> {
         let (parts, body) = response.into_parts();
-        let whole = Limited::new(body, LARGEST_REPLY).collect().await.map_err(|error| {
-            self.failed();
-            self.fault("read reply", &error.to_string()).because(Reason::BadReply)
+        let collected = Limited::new(body, MAX_RESPONSE_LEN).collect().await.map_err(|error| {
+            self.record_failure();
+            self.fault("read reply", &error.to_string()).with_reason(Reason::BadReply)
         })?;
-        Ok(Response::from_parts(parts, whole.to_bytes()))
+        Ok(Response::from_parts(parts, collected.to_bytes()))
     }
 
-    /// Learns from the headers of any reply.
-    fn note<T>(&self, response: &Response<T>) {
+    /// Updates the health of the searcher from the headers of a response.
+    fn record_headers<T>(&self, response: &Response<T>) {
         let header = |name| response.headers().get(name).and_then(|value| value.to_str().ok());
         let Some(run) = header(protocol::RUN) else {
             return;
         };
         let mut health = self.health();
-        health.seen(Instant::now(), &Name::from(run), header(protocol::LEAVING).is_some());
+        health.record_run(Instant::now(), &Name::from(run), header(protocol::LEAVING).is_some());
         if let Some(versions) = header(protocol::VERSIONS) {
-            health.holds(versions.split(',').filter_map(|version| version.parse().ok()));
+            health.set_versions(versions.split(',').filter_map(|version| version.parse().ok()));
         }
     }
 
-    fn read(&self, reply: &Response<Bytes>, took: Duration) -> Result<Found, Fault> {
+    fn decode_search(&self, reply: &Response<Bytes>, took: Duration) -> Result<Found, Fault> {
         match reply.status() {
             StatusCode::OK => {
                 let found = serde_json::from_slice(reply.body()).map_err(|error| {
-                    self.failed();
-                    self.fault("decode reply", &error.to_string()).because(Reason::BadReply)
+                    self.record_failure();
+                    self.fault("decode reply", &error.to_string()).with_reason(Reason::BadReply)
                 })?;
-                self.health().answered(took);
+                self.health().record_success(took);
                 Ok(found)
             }
             StatusCode::CONFLICT => {
-                Err(self.fault("search", "version not held").because(Reason::VersionGone))
+                Err(self.fault("search", "version not held").with_reason(Reason::VersionGone))
             }
             StatusCode::SERVICE_UNAVAILABLE => {
-                self.failed();
-                Err(self.fault("search", "shed").because(Reason::Busy))
+                self.record_failure();
+                Err(self
+                    .fault("search", "rejected: searcher at capacity")
+                    .with_reason(Reason::Busy))
             }
-            StatusCode::GONE => Err(self.fault("search", "leaving").because(Reason::Leaving)),
-            StatusCode::GATEWAY_TIMEOUT => {
-                Err(self.fault("search", "deadline passed there").because(Reason::Deadline))
+            StatusCode::GONE => {
+                Err(self.fault("search", "searcher is leaving").with_reason(Reason::Leaving))
             }
+            StatusCode::GATEWAY_TIMEOUT => Err(self
+                .fault("search", "deadline passed at the searcher")
+                .with_reason(Reason::Deadline)),
             status => {
-                self.failed();
-                Err(self.fault("search", status.as_str()).because(Reason::BadReply))
+                self.record_failure();
+                Err(self.fault("search", status.as_str()).with_reason(Reason::BadReply))
             }
         }
     }
 
-    async fn effect(
+    async fn write_effect(
         &self,
         lease: Lease,
         response: Response<hyper::body::Incoming>,
         call: &Call,
     ) -> Effect {
-        self.note(&response);
+        self.record_headers(&response);
         let not_run = response.headers().contains_key(protocol::NOT_RUN);
         let status = response.status();
-        let body = tokio::time::timeout_at(call.deadline.instant().into(), self.collect(response));
+        let body =
+            tokio::time::timeout_at(call.deadline.instant().into(), self.read_body(response));
         let Ok(Ok(reply)) = body.await else {
             return Effect::Unknown("the reply to the write was cut".to_owned());
         };
@@ -395,17 +407,18 @@
         Effect::Unknown(format!("the searcher answered {status}"))
     }
 
-    fn broken(&self, step: &'static str, error: &hyper::Error) -> Fault {
-        self.failed();
-        // A searcher above its limit accepts and closes at once, before any answer.
+    fn connection_fault(&self, step: &'static str, error: &hyper::Error) -> Fault {
+        self.record_failure();
+        // A searcher that is at its connection limit accepts a connection and closes it
+        // immediately, before any response.
         if error.is_incomplete_message() || error.is_canceled() || error.is_closed() {
-            self.pool.shrink();
+            self.pool.record_refusal();
         }
         Fault { cut: !error.is_canceled(), ..self.fault(step, &error.to_string()) }
     }
 
-    fn failed(&self) {
-        self.health().failed(Instant::now());
+    fn record_failure(&self) {
+        self.health().record_failure(Instant::now());
     }
 
     fn fault(&self, step: &'static str, cause: &str) -> Fault {
@@ -413,7 +426,7 @@
     }
 }
 
-/// A slot that is taken until it is dropped.
+/// A slot that is in use until this is dropped.
 struct Slot {
     client: Arc<Client>,
     took: Option<Duration>,
@@ -421,14 +434,14 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        hand_on(&self.client, self.took);
+        release_slot(&self.client, self.took);
     }
 }
 
-/// Frees a slot and hands it to the first waiter that still listens.
-fn hand_on(client: &Client, mut took: Option<Duration>) {
+/// Releases a slot and passes it to the first waiter whose request still exists.
+fn release_slot(client: &Client, mut took: Option<Duration>) {
     loop {
-        let next = client.slots().leave(Instant::now(), took.take());
+        let next = client.slots().release(Instant::now(), took.take());
         let Some(waiter) = next else { return };
         if waiter.send(()).is_ok() {
             return;
@@ -436,13 +449,14 @@
     }
 }
 
-/// A place in the queue. A slot that was handed over and never used is handed on.
-struct Waiting<'a> {
+/// A queued request. If it is dropped after a slot was granted to it, the slot passes to the
+/// next waiter.
+struct QueuedRequest<'a> {
     client: &'a Arc<Client>,
     receiver: Option<oneshot::Receiver<()>>,
 }
 
-impl Waiting<'_> {
+impl QueuedRequest<'_> {
     async fn slot(mut self) -> Result<Slot, Fault> {
         let receiver = self.receiver.as_mut().expect("a waiter holds its receiver");
         let granted = receiver.await;
@@ -450,20 +464,20 @@
         match granted {
             Ok(()) => Ok(Slot { client: Arc::clone(self.client), took: None }),
             Err(_closed) => {
-                Err(self.client.fault("wait for a slot", "deadline").because(Reason::Deadline))
+                Err(self.client.fault("wait for a slot", "deadline").with_reason(Reason::Deadline))
             }
         }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         let Some(mut receiver) = self.receiver.take() else {
             return;
         };
         receiver.close();
         if receiver.try_recv().is_ok() {
-            hand_on(self.client, None);
+            release_slot(self.client, None);
         }
     }
 }
--- a/crates/upstream/src/client_set.rs
+++ b/crates/upstream/src/client_set.rs
@@ -1,11 +1,12 @@
-//! The searchers that one home holds, over changes of the document.
+//! The clients of the searchers that a gather connects to.
 //!
-//! Clients live by address, since a new document renumbers the entities but leaves
-//! most searchers where they are; their connections and what is known of them stay.
+//! Clients are keyed by address. A new configuration document renumbers the searchers
+//! but leaves most of them at their addresses, so their connections and observed health
+//! are kept.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -15,27 +16,27 @@
 use crate::client::Client;
 use crate::pool::Pool;
 
-/// The guess for the time of a sub-query in the same zone.
-const NEAR: Duration = Duration::from_millis(4);
-/// What another zone of the same region adds, there and back.
-const OTHER_ZONE: Duration = Duration::from_millis(3);
-/// What another region adds, there and back.
-const OTHER_REGION: Duration = Duration::from_millis(16);
+/// Initial latency estimate for a searcher in the same zone.
+const SAME_ZONE_LATENCY: Duration = Duration::from_millis(4);
+/// Additional round-trip time to another zone of the same region.
+const CROSS_ZONE_RTT: Duration = Duration::from_millis(3);
+/// Additional round-trip time to another region.
+const CROSS_REGION_RTT: Duration = Duration::from_millis(16);
 
-/// The sums over all pools of a home.
+/// Totals over the connection pools of all clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
-    /// The searchers held.
+pub struct PoolTotals {
+    /// Number of searchers.
     pub searchers: usize,
-    /// The connections open.
+    /// Number of open connections.
     pub open: usize,
-    /// The dials since the start.
+    /// Number of connection attempts since the start.
     pub dials: u64,
-    /// The dials that searchers refused.
+    /// Number of connection attempts that failed or that searchers refused.
     pub refused: u64,
 }
 
-/// The searchers that one home holds.
+/// The clients of all searchers that a gather connects to.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     clients: BTreeMap<SocketAddr, Arc<Client>>,
@@ -43,9 +44,10 @@
 }
 
 impl Fleet {
-    /// Makes the fleet for the searchers that are held under a document.
+    /// Returns the clients of the searchers in `held`, as configured by `document`.
     ///
-    /// Clients that are held before and after are kept; the others close when idle.
+    /// Existing clients are reused. Clients that are no longer needed close their connections
+    /// as these become idle.
     #[must_use]
     pub fn next(&self, document: &Document, settings: &Settings, held: &[Searcher]) -> Self {
         let mut next = Self::default();
@@ -56,8 +58,8 @@
             let slots = document.services[service].slots.min(share);
             let client = self.clients.get(&row.address).map_or_else(
                 || {
-                    let guess = distance(document, settings, &row.zone);
-                    fresh(settings.instance.address, row.address, share, slots, settings, guess)
+                    let latency = estimate_latency(document, settings, &row.zone);
+                    new_client(settings, row.address, share, slots, latency)
                 },
                 Arc::clone,
             );
@@ -74,12 +76,12 @@
         next
     }
 
-    /// Returns the client of a searcher that is held.
+    /// Returns the client of a searcher, if there is one.
     pub fn client(&self, searcher: Searcher) -> Option<&Arc<Client>> {
         self.index.get(&searcher)
     }
 
-    /// Returns the client at an address.
+    /// Returns the client of the searcher at an address, if there is one.
     pub fn at(&self, address: SocketAddr) -> Option<&Arc<Client>> {
         self.clients.get(&address)
     }
@@ -89,9 +91,9 @@
         self.clients.values()
     }
 
-    /// Sums the counts of all pools.
-    pub fn count(&self) -> Count {
-        let add = |mut sum: Count, client: &Arc<Client>| {
+    /// Returns the totals over all connection pools.
+    pub fn count(&self) -> PoolTotals {
+        let add = |mut sum: PoolTotals, client: &Arc<Client>| {
             let usage = client.pool().usage();
             sum.searchers += 1;
             sum.open += usage.open;
@@ -99,10 +101,10 @@
             sum.refused += usage.refused;
             sum
         };
-        self.clients.values().fold(Count::default(), add)
+        self.clients.values().fold(PoolTotals::default(), add)
     }
 
-    /// Writes the text form that dumps use: one line a searcher.
+    /// Formats the state for diagnostic dumps, one line per searcher.
     pub fn dump(&self) -> String {
         let mut text = String::new();
         for client in self.clients.values() {
@@ -123,25 +125,24 @@
     }
 }
 
-fn fresh(
-    local: Ipv4Addr,
+fn new_client(
+    settings: &Settings,
     remote: SocketAddr,
     share: usize,
     slots: usize,
-    settings: &Settings,
-    guess: Duration,
+    initial_latency: Duration,
 ) -> Arc<Client> {
-    let pool = Pool::new(local, remote, share, settings.gather.dial);
-    Client::new(remote, pool, slots, settings.gather.queue as usize, guess)
+    let pool = Pool::new(settings.instance.address, remote, share, settings.gather.dial);
+    Client::new(remote, pool, slots, settings.gather.queue as usize, initial_latency)
 }
 
-fn distance(document: &Document, settings: &Settings, zone: &str) -> Duration {
+fn estimate_latency(document: &Document, settings: &Settings, zone: &str) -> Duration {
     let here = &*settings.instance.zone;
     if here == zone {
-        NEAR
+        SAME_ZONE_LATENCY
     } else if document.region(here) == document.region(zone) {
-        NEAR + OTHER_ZONE
+        SAME_ZONE_LATENCY + CROSS_ZONE_RTT
     } else {
-        NEAR + OTHER_REGION
+        SAME_ZONE_LATENCY + CROSS_REGION_RTT
     }
 }
--- a/crates/upstream/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -1,11 +1,12 @@
-//! What a home knows of one searcher from its own exchanges with it.
+//! Health of one searcher, as observed by this process.
 //!
-//! Health and load endpoints lag or mislead, so they only count for what they can't
-//! get wrong by lagging: the identity of the run and that it is leaving. Latency,
-//! failures and versions come from answers to real work.
+//! Health and load endpoints can be outdated or misleading, so they are used only for
+//! facts that a delay can't make wrong: the identity of the run and that it is shutting
+//! down. Latency, failures and versions are taken from responses to real requests.
 //!
-//! Invariant: leaving is final for a run of a searcher. Only another run at the same
-//! address, seen by ourselves, takes work again.
+//! Invariant: a run of a searcher that is leaving (shutting down) never becomes available
+//! again. Requests are sent to its address again only after this process has received a
+//! response from another run there.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -13,22 +14,22 @@
 
 use bergamot_base::{Name, Version};
 
-/// Consecutive failures after which a searcher is ejected for a while.
-const FAILURES: u32 = 3;
+/// Number of consecutive failures after which a searcher is ejected.
+const EJECTION_THRESHOLD: u32 = 3;
 
-/// The first ejection; each further one in a row doubles it.
+/// Duration of the first ejection. Each further one without a success in between doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(250);
 
-/// How many times an ejection doubles.
-const MOST_DOUBLINGS: u32 = 5;
+/// Maximum number of times that the duration of an ejection is doubled.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// How long a run counts as cold after it was first seen.
+/// How long a restarted searcher counts as cold after its new run was first seen.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// The weight of a new sample in the mean latency, as a divisor.
+/// Divisor of the moving average of the latency: a new sample has weight 1 / `SMOOTHING`.
 const SMOOTHING: u32 = 8;
 
-/// What is known of one searcher.
+/// The observed health of one searcher.
 #[derive(Clone, Debug)]
 pub struct Health {
     mean: Duration,
@@ -43,10 +44,10 @@
 }
 
 impl Health {
-    /// Starts with a guess of the latency, made from the distance.
-    pub fn new(guess: Duration) -> Self {
+    /// Creates the health of an unknown searcher with an initial estimate of its latency.
+    pub fn new(initial_latency: Duration) -> Self {
         Self {
-            mean: guess,
+            mean: initial_latency,
             failures: 0,
             ejections: 0,
             ejected_until: None,
@@ -58,37 +59,37 @@
         }
     }
 
-    /// Records an answer to real work.
-    pub fn answered(&mut self, took: Duration) {
+    /// Records a successful request.
+    pub fn record_success(&mut self, took: Duration) {
         self.failures = 0;
         self.ejections = 0;
         self.ejected_until = None;
         self.mean = (self.mean * (SMOOTHING - 1) + took) / SMOOTHING;
     }
 
-    /// Records a failure and ejects the searcher after several in a row.
-    pub fn failed(&mut self, now: Instant) {
+    /// Records a failed request and ejects the searcher after several consecutive failures.
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
-        if self.failures >= FAILURES {
-            let doublings = self.ejections.min(MOST_DOUBLINGS);
+        if self.failures >= EJECTION_THRESHOLD {
+            let doublings = self.ejections.min(MAX_DOUBLINGS);
             self.ejected_until = Some(now + FIRST_EJECTION * 2_u32.pow(doublings));
             self.ejections += 1;
             self.failures = 0;
         }
     }
 
-    /// Ejects the searcher for a while, as when it can't be dialled.
+    /// Ejects the searcher for at least `pause`, for example after a failed connection attempt.
     pub fn rest(&mut self, now: Instant, pause: Duration) {
         let until = now + pause;
         self.ejected_until = Some(self.ejected_until.map_or(until, |known| known.max(until)));
     }
 
-    /// Records which run answers and whether it says that it is leaving.
+    /// Records the run that sent a response and whether it reported that it is leaving.
     ///
-    /// Another run at the same address starts afresh, and cold.
-    pub fn seen(&mut self, now: Instant, run: &Name, leaving: bool) {
+    /// A new run at the same address resets the known versions and counts as cold.
+    pub fn record_run(&mut self, now: Instant, run: &Name, leaving: bool) {
         if self.run.as_ref() != Some(run) {
-            // The word that a run is leaving may come before the run was ever seen.
+            // The notice that a run is leaving may arrive before its first response.
             self.leaving &= self.run.is_none();
             self.restarted = self.run.is_some();
             self.run = Some(Name::clone(run));
@@ -98,43 +99,44 @@
         self.leaving |= leaving;
     }
 
-    /// Records that a peer or the platform says that a run is leaving.
+    /// Records the notice of a peer or of the platform that a run is leaving, and returns
+    /// whether this was not known yet.
     ///
-    /// Without a run, the one seen last is meant.
+    /// A notice without a run refers to the run that was seen last.
     pub fn told_leaving(&mut self, run: Option<&Name>) -> bool {
-        let ours = run.is_none() || run == self.run.as_ref() || self.run.is_none();
-        let news = ours && !self.leaving;
-        self.leaving |= ours;
-        if ours && self.run.is_none() {
+        let applies = run.is_none() || run == self.run.as_ref() || self.run.is_none();
+        let is_new = applies && !self.leaving;
+        self.leaving |= applies;
+        if applies && self.run.is_none() {
             self.run = run.cloned();
         }
-        news
+        is_new
     }
 
-    /// Records which versions the searcher holds.
-    pub fn holds(&mut self, versions: impl IntoIterator<Item = Version>) {
+    /// Sets the versions that the searcher holds.
+    pub fn set_versions(&mut self, versions: impl IntoIterator<Item = Version>) {
         self.versions = versions.into_iter().collect();
     }
 
-    /// Returns the versions that the searcher holds, as it said last.
+    /// Returns the versions that the searcher last reported to hold.
     pub fn versions(&self) -> &BTreeSet<Version> {
         &self.versions
     }
 
-    /// Tells whether the searcher is leaving.
+    /// Returns whether the searcher is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Tells whether the searcher is ejected at `now`.
+    /// Returns whether the searcher is ejected at `now`.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Tells whether the searcher restarted a short while ago.
+    /// Returns whether the searcher restarted within the warm-up period.
     pub fn is_cold(&self, now: Instant) -> bool {
-        let young = |seen| now.saturating_duration_since(seen) < WARM_UP;
-        self.restarted && self.first_seen.is_some_and(young)
+        let is_recent = |seen| now.saturating_duration_since(seen) < WARM_UP;
+        self.restarted && self.first_seen.is_some_and(is_recent)
     }
 
     /// Returns the mean latency.
@@ -142,7 +144,7 @@
         self.mean
     }
 
-    /// Returns the run that answered last.
+    /// Returns the run that was seen last.
     pub fn run(&self) -> Option<&Name> {
         self.run.as_ref()
     }
--- a/crates/upstream/src/hedged_request.rs
+++ b/crates/upstream/src/hedged_request.rs
@@ -1,71 +1,74 @@
-//! The attempts at one shard: first, hedge, retry, and who wins.
+//! A sub-query to one shard with its hedges and retries.
 //!
-//! Straggling is mostly a matter of the request and not of the searcher. When every
-//! replica has been asked and all are slow, the first is asked once more in place of its
-//! first attempt, which is cancelled: it has no more work than before.
+//! High latency is mostly a property of the individual request and not of the
+//! searcher. If all replicas have been tried and all are slow, the first replica is
+//! therefore tried once more. The new attempt replaces the first one, which is
+//! cancelled, so the load on that replica does not increase.
 //!
-//! Invariant: at most one attempt at a searcher runs at a time, the race ends exactly
-//! once, and nothing is sent after it has ended.
+//! Invariant: at most one attempt per searcher runs at a time, the request ends
+//! exactly once, and nothing is sent after it has ended.
 
 use std::collections::VecDeque;
 
 use bergamot_base::{Budget, Searcher};
 use bergamot_query::Reason;
 
-/// What to do after a failure.
+/// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask this searcher.
+    /// Send an attempt to this searcher.
     Send(Searcher),
-    /// Another attempt is still running: wait for it.
+    /// Wait for an attempt that is still running.
     Wait,
-    /// The shard is missing for this reason.
+    /// Give up: the shard is missing for this reason.
     Miss(Reason),
 }
 
-/// The attempts at one shard.
+/// The state of a hedged request to the replicas of one shard.
 #[derive(Debug)]
 pub struct Race {
     untried: VecDeque<Searcher>,
     running: Vec<Searcher>,
-    again: Option<Searcher>,
-    worst: Reason,
+    /// The first replica, until it has been tried a second time.
+    repeat: Option<Searcher>,
+    last_failure: Reason,
     ended: bool,
 }
 
 impl Race {
-    /// Prepares a race over replicas in the order in which to ask them.
+    /// Creates a request to the given replicas, which are tried in this order.
     pub fn new(order: impl IntoIterator<Item = Searcher>) -> Self {
         let untried: VecDeque<Searcher> = order.into_iter().collect();
-        let again = untried.front().copied();
-        Self { untried, running: Vec::new(), again, worst: Reason::Leaving, ended: false }
+        let repeat = untried.front().copied();
+        Self { untried, running: Vec::new(), repeat, last_failure: Reason::Leaving, ended: false }
     }
 
-    /// Starts with the first replica, if there is any.
+    /// Starts with the first replica, or gives up if there is none.
     pub fn start(&mut self) -> Next {
         self.send().map_or_else(|| self.end(), Next::Send)
     }
 
-    /// Asks another replica while all that were asked are slow, if the budget allows.
+    /// Returns the replica to hedge with if all running attempts are slow, or `None` if there
+    /// is none left or the budget is exhausted.
     ///
-    /// Where none is left it returns the first replica once more: the caller puts a fresh
-    /// attempt in place of the one that runs there.
+    /// After all replicas have been tried, this returns the first one a second time. The
+    /// caller must then replace the attempt that is running there.
     pub fn hedge(&mut self, budget: &mut Budget) -> Option<Searcher> {
-        let again = self.again.filter(|first| self.running.contains(first));
-        if self.ended || (self.untried.is_empty() && again.is_none()) || !budget.spend() {
+        let repeat = self.repeat.filter(|first| self.running.contains(first));
+        if self.ended || (self.untried.is_empty() && repeat.is_none()) || !budget.spend() {
             return None;
         }
         if self.untried.is_empty() {
-            self.again = None;
-            return again;
+            self.repeat = None;
+            return repeat;
         }
         self.send()
     }
 
-    /// Records a failed attempt and says what follows.
+    /// Records a failed attempt and returns what to do next.
     pub fn fail(&mut self, searcher: Searcher, reason: Reason, budget: &mut Budget) -> Next {
         self.running.retain(|running| *running != searcher);
-        self.worst = reason;
+        self.last_failure = reason;
         if self.ended {
             return Next::Miss(reason);
         }
@@ -81,14 +84,15 @@
         self.end()
     }
 
-    /// Ends the race for a winner and returns the attempts to cancel.
+    /// Ends the request with the result of `winner` and returns the searchers whose attempts
+    /// must be cancelled.
     pub fn win(&mut self, winner: Searcher) -> Vec<Searcher> {
         self.ended = true;
         self.running.retain(|running| *running != winner);
         std::mem::take(&mut self.running)
     }
 
-    /// Returns the searchers whose answers are awaited.
+    /// Returns the searchers with running attempts.
     pub fn running(&self) -> &[Searcher] {
         &self.running
     }
@@ -101,6 +105,6 @@
 
     fn end(&mut self) -> Next {
         self.ended = true;
-        Next::Miss(self.worst)
+        Next::Miss(self.last_failure)
     }
 }
--- a/crates/upstream/src/latency.rs
+++ b/crates/upstream/src/latency.rs
@@ -1,54 +1,54 @@
-//! The recent latency of a service's sub-queries, for the time of a hedge.
+//! A latency percentile over recent requests, used as the hedge delay.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The percentile after which a hedge is made, unless another is asked for.
+/// Default percentile after which a request is hedged.
 ///
-/// It leaves some of a five percent budget for the slow: at the 95th percentile, ordinary
-/// answers alone spend all of it, and stragglers find the bucket empty.
-const PERCENT: usize = 98;
+/// At the 95th percentile, requests with ordinary latency would use up a 5 % hedge budget,
+/// leaving no tokens for stragglers.
+const DEFAULT_PERCENT: usize = 98;
 
-/// How many samples the estimate looks back.
+/// Number of most recent samples that the estimate is based on.
 const WINDOW: usize = 512;
 
-/// How often the estimate is made anew, in samples.
-const REFRESH: usize = 64;
+/// Number of samples after which the estimate is recomputed.
+const REFRESH_INTERVAL: usize = 64;
 
-/// How many samples are needed before there is an estimate.
-const FEWEST: usize = 32;
+/// Minimum number of samples for the first estimate.
+const MIN_SAMPLES: usize = 32;
 
-/// A sliding window of latencies with the percentile after which a hedge is made.
+/// Estimates a latency percentile over a sliding window of samples.
 #[derive(Clone, Debug)]
 pub struct Pace {
     percent: usize,
     samples: Vec<Duration>,
     next: usize,
-    fresh: usize,
+    since_refresh: usize,
     estimate: Option<Duration>,
     scratch: Vec<Duration>,
 }
 
 impl Default for Pace {
     fn default() -> Self {
-        Self::new(PERCENT)
+        Self::new(DEFAULT_PERCENT)
     }
 }
 
 impl Pace {
-    /// Makes an empty window for a percentile.
+    /// Creates an estimator of the given percentile, without samples.
     pub fn new(percent: usize) -> Self {
         Self {
             percent,
             samples: Vec::new(),
             next: 0,
-            fresh: 0,
+            since_refresh: 0,
             estimate: None,
             scratch: Vec::new(),
         }
     }
 
-    /// Records a latency.
+    /// Adds a latency sample.
     pub fn record(&mut self, took: Duration) {
         if self.samples.len() < WINDOW {
             self.samples.push(took);
@@ -56,20 +56,20 @@
             self.samples[self.next] = took;
         }
         self.next = (self.next + 1) % WINDOW;
-        self.fresh += 1;
-        let first = self.estimate.is_none() && self.samples.len() >= FEWEST;
-        if first || self.fresh >= REFRESH {
+        self.since_refresh += 1;
+        let is_first = self.estimate.is_none() && self.samples.len() >= MIN_SAMPLES;
+        if is_first || self.since_refresh >= REFRESH_INTERVAL {
             self.refresh();
         }
     }
 
-    /// Returns the percentile of the window, once there are enough samples.
+    /// Returns the current estimate, or `None` if there are too few samples.
     pub fn slow(&self) -> Option<Duration> {
         self.estimate
     }
 
     fn refresh(&mut self) {
-        self.fresh = 0;
+        self.since_refresh = 0;
         self.scratch.clear();
         self.scratch.extend_from_slice(&self.samples);
         let rank = (self.scratch.len() * self.percent / 100).min(self.scratch.len() - 1);
@@ -80,7 +80,7 @@
 impl fmt::Display for Pace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.estimate {
-            Some(slow) => write!(f, "p{} {:.1} ms", self.percent, slow.as_secs_f64() * 1e3),
+            Some(latency) => write!(f, "p{} {:.1} ms", self.percent, latency.as_secs_f64() * 1e3),
             None => f.write_str("pace unknown"),
         }
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,27 +1,29 @@
-//! Connections, slots, replica choice, hedges, retries and drain towards searchers.
+//! Connection pools, request queues, replica selection, hedging and retries for searchers.
 //!
-//! Searchers have few connections and fewer slots. A home holds its share of
-//! connections ([`Pool`]), lets only as many sub-queries through as there are slots
-//! ([`Slots`]), picks the better replica ([`rank`]), hedges and retries inside
-//! budgets ([`Race`], [`bergamot_base::Budget`]) and sends nothing new to a searcher that leaves
-//! ([`Health`]). Decisions are pure and take `now`; only [`Client`] and [`Pool`]
-//! touch sockets. See `docs/design/0005-tails-and-scarcity.md`.
+//! A searcher accepts few connections and executes even fewer requests at a time; each
+//! concurrent request takes one slot. A gather uses its share of the connections
+//! ([`Pool`]), queues sub-queries until a slot is free ([`Slots`]), orders the replicas
+//! of a shard ([`rank`]), limits hedges and retries by budgets ([`Race`],
+//! [`bergamot_base::Budget`]), and sends no new requests to a searcher that is shutting
+//! down ([`Health`]). Only [`Client`] and [`Pool`] perform I/O; the other types are
+//! deterministic and take the current time as `now`. See
+//! `docs/design/0005-tails-and-scarcity.md`.
 
-mod choose;
 mod client;
-mod fleet;
+mod client_set;
 mod health;
-mod pace;
+mod hedged_request;
+mod latency;
 mod pool;
 pub mod protocol;
-mod race;
+mod rank;
 mod slots;
 
-pub use choose::{Candidate, rank};
 pub use client::{Call, Client, Effect, Fault};
-pub use fleet::{Count, Fleet};
+pub use client_set::{Fleet, PoolTotals};
 pub use health::Health;
-pub use pace::Pace;
+pub use hedged_request::{Next, Race};
+pub use latency::Pace;
 pub use pool::{Lease, Pool, Usage};
-pub use race::{Next, Race};
-pub use slots::{Entry, Slots};
+pub use rank::{Candidate, rank};
+pub use slots::{Admission, Slots};
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,8 +1,10 @@
-//! The connections of one home to one searcher.
+//! A pool of HTTP/1 connections to one searcher.
 //!
-//! Invariant: open connections, dials included, never exceed the share. A refused
-//! dial shrinks the share for a while, since the searcher's limit is the last guard
-//! and not the plan; see `docs/design/0002-homes-and-cells.md`.
+//! Invariant: the number of connections, including those being established, never
+//! exceeds the share, apart from connections in use when the share was reduced. The
+//! shares of all gathers together are meant to stay below the searcher's connection
+//! limit, so the limit is only a safeguard, and a refused connection reduces the share
+//! temporarily. See `docs/design/0002-homes-and-cells.md`.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,173 +22,190 @@
 
 use crate::client::Fault;
 
-/// How long a share stays shrunk after a refusal.
-const SHRUNK: Duration = Duration::from_secs(2);
+/// How long the share stays reduced after a refused connection.
+const REDUCED_FOR: Duration = Duration::from_secs(2);
 
-/// An open connection: the sending side, and the task that owns the socket.
+/// An open connection: its request sender and the task that drives the socket.
 #[derive(Debug)]
-struct Sender {
-    request: SendRequest<Full<Bytes>>,
-    socket: AbortHandle,
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    driver: AbortHandle,
 }
 
-impl Sender {
-    /// Closes the socket now. Dropped alone, it would close when the task next runs.
+impl Connection {
+    /// Closes the socket immediately. Dropping the sender alone would close it only when the
+    /// driver task is next polled.
     fn close(self) {
-        self.socket.abort();
+        self.driver.abort();
     }
 }
 
-/// The counts of a pool.
+/// The counters of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// The connections that may be open.
+    /// Maximum number of connections.
     pub share: usize,
-    /// The connections that are open or being dialled.
+    /// Number of connections that are open or being established.
     pub open: usize,
-    /// The connections that wait for work.
+    /// Number of idle connections.
     pub idle: usize,
-    /// The dials since the start.
+    /// Number of connection attempts since the start.
     pub dials: u64,
-    /// The dials that the searcher refused.
+    /// Number of connection attempts that failed or that the searcher refused.
     pub refused: u64,
 }
 
 #[derive(Debug)]
 struct State {
     usage: Usage,
-    idle: Vec<Sender>,
-    shrunk: Option<(usize, Instant)>,
+    idle: Vec<Connection>,
+    /// The limit after a refused connection, and when it ends.
+    reduced: Option<(usize, Instant)>,
     closing: bool,
-    /// How long the fastest dial took since it was last asked for.
+    /// Shortest connection time since [`Pool::take_fastest_dial`] was last called.
     fastest: Option<Duration>,
 }
 
 impl State {
     fn limit(&mut self, now: Instant) -> usize {
-        match self.shrunk {
+        match self.reduced {
             _ if self.closing => 0,
             Some((limit, until)) if now < until => limit.min(self.usage.share),
             _ => {
-                self.shrunk = None;
+                self.reduced = None;
                 self.usage.share
             }
         }
     }
 }
 
-/// The connections of one home to one searcher.
+/// A pool of connections to one searcher.
 #[derive(Debug)]
 pub struct Pool {
     local: Ipv4Addr,
     remote: SocketAddr,
-    dial: Duration,
+    dial_timeout: Duration,
     state: Mutex<State>,
-    freed: Notify,
+    /// Notified when a connection becomes available or the limit may have room.
+    available: Notify,
 }
 
 impl Pool {
-    /// Makes an empty pool.
-    pub fn new(local: Ipv4Addr, remote: SocketAddr, share: usize, dial: Duration) -> Arc<Self> {
+    /// Creates an empty pool.
+    pub fn new(
+        local: Ipv4Addr,
+        remote: SocketAddr,
+        share: usize,
+        dial_timeout: Duration,
+    ) -> Arc<Self> {
         let usage = Usage { share, ..Usage::default() };
-        let state = State { usage, idle: Vec::new(), shrunk: None, closing: false, fastest: None };
-        Arc::new(Self { local, remote, dial, state: Mutex::new(state), freed: Notify::new() })
+        let state = State { usage, idle: Vec::new(), reduced: None, closing: false, fastest: None };
+        Arc::new(Self {
+            local,
+            remote,
+            dial_timeout,
+            state: Mutex::new(state),
+            available: Notify::new(),
+        })
     }
 
-    /// Changes the share; connections above it close when they are returned.
+    /// Changes the share. Excess connections in use are closed when they are returned.
     pub fn resize(&self, share: usize) {
         let mut state = self.lock();
         state.usage.share = share;
         state.closing = false;
         drop(state);
-        self.trim();
+        self.close_excess_idle();
     }
 
-    /// Stops new work and closes connections as they become idle.
+    /// Stops establishing connections and closes existing ones as they become idle.
     pub fn close(&self) {
         self.lock().closing = true;
-        self.trim();
+        self.close_excess_idle();
     }
 
-    /// Returns the counts.
+    /// Returns the counters.
     pub fn usage(&self) -> Usage {
         let state = self.lock();
         Usage { idle: state.idle.len(), ..state.usage }
     }
 
-    /// Returns how long the fastest dial took since this was last asked: one round trip.
+    /// Returns the shortest connection time since the last call, which is about one round trip.
     pub fn take_fastest_dial(&self) -> Option<Duration> {
         self.lock().fastest.take()
     }
 
-    /// Opens one connection ahead of need, if the share has room.
+    /// Opens one connection in advance, if the share allows it, and returns whether it did.
     pub async fn warm(self: &Arc<Self>) -> Result<bool, Fault> {
         if !self.reserve() {
             return Ok(false);
         }
-        let sender = self.dial().await?;
-        self.put(sender);
+        let connection = self.dial().await?;
+        self.put(connection);
         Ok(true)
     }
 
-    /// Tells whether nobody listens at the searcher's address: whoever did has ended.
+    /// Returns whether nothing listens at the searcher's address, which means that its process
+    /// has ended.
     ///
-    /// A connection that ends shows less: it may have been reset, or cut on the way. If the
-    /// searcher is there, the connection that shows it is kept where the share has room.
+    /// This opens a new connection, because the end of an existing one doesn't show that: it
+    /// may have been reset or interrupted by the network. If the searcher accepts the
+    /// connection, it is kept in the pool if the share allows it.
     pub async fn is_gone(self: &Arc<Self>) -> bool {
-        let mut place = self.reserve().then(|| Place { pool: self, kept: false });
-        let stream = match bergamot_net::dial(self.local, self.remote, self.dial).await {
+        let mut reservation = self.reserve().then(|| Reservation { pool: self, used: false });
+        let stream = match bergamot_net::dial(self.local, self.remote, self.dial_timeout).await {
             Ok(stream) => stream,
             Err(fault) => return fault.refused,
         };
-        if let Some(place) = &mut place
-            && let Ok(sender) = self.shake(stream).await
+        if let Some(reservation) = &mut reservation
+            && let Ok(connection) = self.handshake(stream).await
         {
-            place.kept = true;
-            self.put(sender);
+            reservation.used = true;
+            self.put(connection);
         }
         false
     }
 
-    /// Takes a connection, dialling one where the share has room, by the deadline.
+    /// Leases an idle connection, or opens one if the share allows it. Waits for a connection
+    /// until the deadline.
     pub async fn lease(self: &Arc<Self>, deadline: Deadline) -> Result<Lease, Fault> {
-        let timeout = tokio::time::timeout_at(deadline.instant().into(), self.take()).await;
-        timeout.unwrap_or_else(|_elapsed| Err(self.fault("wait for a connection", "deadline")))
+        let result = tokio::time::timeout_at(deadline.instant().into(), self.acquire()).await;
+        result.unwrap_or_else(|_elapsed| Err(self.fault("wait for a connection", "deadline")))
     }
 
-    /// Takes a connection only if one is idle.
+    /// Leases a connection if one is idle.
     pub fn lease_idle(self: &Arc<Self>) -> Option<Lease> {
-        self.pop().map(|sender| self.lend(sender))
+        self.pop_idle().map(|connection| self.new_lease(connection))
     }
 
-    async fn take(self: &Arc<Self>) -> Result<Lease, Fault> {
+    async fn acquire(self: &Arc<Self>) -> Result<Lease, Fault> {
         loop {
-            let freed = self.freed.notified();
-            if let Some(sender) = self.pop() {
-                return Ok(self.lend(sender));
+            let available = self.available.notified();
+            if let Some(connection) = self.pop_idle() {
+                return Ok(self.new_lease(connection));
             }
             if self.reserve() {
-                let sender = self.dial().await?;
-                return Ok(self.lend(sender));
+                let connection = self.dial().await?;
+                return Ok(self.new_lease(connection));
             }
             if self.lock().closing {
                 return Err(
                     self.fault("take a connection", "the home no longer holds the searcher")
                 );
             }
-            freed.await;
+            available.await;
         }
     }
 
-    fn lend(self: &Arc<Self>, sender: Sender) -> Lease {
-        Lease { pool: Arc::clone(self), sender: Some(sender) }
+    fn new_lease(self: &Arc<Self>, connection: Connection) -> Lease {
+        Lease { pool: Arc::clone(self), connection: Some(connection) }
     }
 
-    fn pop(&self) -> Option<Sender> {
+    fn pop_idle(&self) -> Option<Connection> {
         let mut state = self.lock();
-        while let Some(sender) = state.idle.pop() {
-            if sender.request.is_ready() {
-                return Some(sender);
+        while let Some(connection) = state.idle.pop() {
+            if connection.sender.is_ready() {
+                return Some(connection);
             }
             state.usage.open -= 1;
         }
@@ -203,74 +222,76 @@
         room
     }
 
-    /// Dials into a reserved place, which is given back on failure or cancellation.
-    async fn dial(self: &Arc<Self>) -> Result<Sender, Fault> {
-        let mut place = Place { pool: self, kept: false };
-        let dialled = tokio::time::timeout(self.dial, self.handshake()).await;
-        let sender = dialled
+    /// Opens a connection for a reservation that the caller has made. The reservation is
+    /// released on failure or cancellation.
+    async fn dial(self: &Arc<Self>) -> Result<Connection, Fault> {
+        let mut reservation = Reservation { pool: self, used: false };
+        let result = tokio::time::timeout(self.dial_timeout, self.connect()).await;
+        let connection = result
             .unwrap_or_else(|_elapsed| Err(self.fault("dial", "timeout")))
-            .inspect_err(|_| self.shrink())?;
-        place.kept = true;
-        Ok(sender)
+            .inspect_err(|_| self.record_refusal())?;
+        reservation.used = true;
+        Ok(connection)
     }
 
-    async fn handshake(&self) -> Result<Sender, Fault> {
-        let begun = Instant::now();
-        let stream = bergamot_net::dial(self.local, self.remote, self.dial)
+    async fn connect(&self) -> Result<Connection, Fault> {
+        let started = Instant::now();
+        let stream = bergamot_net::dial(self.local, self.remote, self.dial_timeout)
             .await
             .map_err(|error| self.fault("dial", &error.cause))?;
-        self.note_dial(begun.elapsed());
-        self.shake(stream).await
+        self.record_dial(started.elapsed());
+        self.handshake(stream).await
     }
 
-    /// Makes a new connection ready for requests.
-    async fn shake(&self, stream: TcpStream) -> Result<Sender, Fault> {
+    /// Performs the HTTP/1 handshake on a new connection.
+    async fn handshake(&self, stream: TcpStream) -> Result<Connection, Fault> {
         let fault = |error: &dyn fmt::Display| self.fault("handshake", &error.to_string());
-        let (mut request, connection) =
+        let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|error| fault(&error))?;
-        let socket = tokio::spawn(connection).abort_handle();
-        request.ready().await.map_err(|error| fault(&error))?;
-        Ok(Sender { request, socket })
+        let driver = tokio::spawn(connection).abort_handle();
+        sender.ready().await.map_err(|error| fault(&error))?;
+        Ok(Connection { sender, driver })
     }
 
-    fn note_dial(&self, took: Duration) {
+    fn record_dial(&self, took: Duration) {
         let mut state = self.lock();
         state.fastest = Some(state.fastest.map_or(took, |fastest| fastest.min(took)));
     }
 
-    /// Shrinks the share to what is open after the searcher refused a connection.
-    pub(crate) fn shrink(&self) {
+    /// Temporarily limits the pool to the number of connections that are open without the one
+    /// that the searcher refused.
+    pub(crate) fn record_refusal(&self) {
         let mut state = self.lock();
         state.usage.refused += 1;
         let limit = state.usage.open.saturating_sub(1).max(1);
-        state.shrunk = Some((limit, Instant::now() + SHRUNK));
+        state.reduced = Some((limit, Instant::now() + REDUCED_FOR));
     }
 
-    fn put(&self, sender: Sender) {
+    fn put(&self, connection: Connection) {
         let mut state = self.lock();
         let limit = state.limit(Instant::now());
-        if sender.request.is_closed() || state.usage.open > limit {
+        if connection.sender.is_closed() || state.usage.open > limit {
             state.usage.open -= 1;
         } else {
-            state.idle.push(sender);
+            state.idle.push(connection);
         }
         drop(state);
-        self.freed.notify_one();
+        self.available.notify_one();
     }
 
-    fn release(&self) {
+    fn release_place(&self) {
         self.lock().usage.open -= 1;
-        self.freed.notify_one();
+        self.available.notify_one();
     }
 
-    fn trim(&self) {
+    fn close_excess_idle(&self) {
         let mut state = self.lock();
         let limit = state.limit(Instant::now());
         while state.usage.open > limit && state.idle.pop().is_some() {
             state.usage.open -= 1;
         }
         drop(state);
-        self.freed.notify_waiters();
+        self.available.notify_waiters();
     }
 
     fn fault(&self, step: &'static str, cause: &str) -> Fault {
@@ -282,58 +303,59 @@
     }
 }
 
-/// A place in the share that is given back unless the dial succeeds.
-struct Place<'a> {
+/// A reserved place in the share. It is released on drop unless a connection uses it.
+struct Reservation<'a> {
     pool: &'a Pool,
-    kept: bool,
+    used: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        if !self.kept {
-            self.pool.release();
+        if !self.used {
+            self.pool.release_place();
         }
     }
 }
 
-/// A connection on loan. It goes back to the pool only through [`Lease::give_back`];
-/// dropped otherwise, the connection is closed, since an answer may be on its way.
+/// A leased connection.
+///
+/// It returns to the pool only through [`Lease::give_back`]. Dropping the lease closes the
+/// connection, because a response may still be in transit on it.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Pool>,
-    sender: Option<Sender>,
+    connection: Option<Connection>,
 }
 
 impl Lease {
-    /// Returns the connection for sending.
+    /// Returns the request sender of the connection.
     pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         &mut self
-            .sender
+            .connection
             .as_mut()
             .expect("a lease holds its connection until it is given back")
-            .request
+            .sender
     }
 
-    /// Returns the connection to the pool once it has become ready for more work.
+    /// Returns the connection to the pool as soon as it is ready for another request.
     pub async fn give_back(mut self) {
-        let Some(mut sender) = self.sender.take() else {
+        let Some(mut connection) = self.connection.take() else {
             return;
         };
         let pool = Arc::clone(&self.pool);
-        let place = Place { pool: &pool, kept: false };
-        if sender.request.ready().await.is_ok() {
-            let mut place = place;
-            place.kept = true;
-            pool.put(sender);
+        let mut reservation = Reservation { pool: &pool, used: false };
+        if connection.sender.ready().await.is_ok() {
+            reservation.used = true;
+            pool.put(connection);
         }
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if let Some(sender) = self.sender.take() {
-            sender.close();
-            self.pool.release();
+        if let Some(connection) = self.connection.take() {
+            connection.close();
+            self.pool.release_place();
         }
     }
 }
--- a/crates/upstream/src/protocol.rs
+++ b/crates/upstream/src/protocol.rs
@@ -1,62 +1,63 @@
-//! The searchers' HTTP protocol, as the platform publishes it.
+//! The HTTP protocol of searchers, as published by the platform.
 //!
-//! `POST /search` and `POST /write` carry JSON. Deadlines travel as the time left,
-//! cancellation as `DELETE /requests/ID`. Every answer names the run of the
-//! searcher, the versions it holds, and whether it is leaving.
+//! `POST /search` and `POST /write` carry JSON. A deadline is sent as the remaining
+//! time, and a request is cancelled with `DELETE /requests/ID`. Every response
+//! identifies the run of the searcher, lists the index versions that it holds, and
+//! tells whether it is shutting down.
 
 use bergamot_base::{Epoch, Name, Version};
 use bergamot_query::{Hit, Shape};
 use serde::{Deserialize, Serialize};
 
-/// The path of sub-queries.
+/// Path of sub-queries.
 pub const SEARCH: &str = "/search";
-/// The path of writes.
+/// Path of writes.
 pub const WRITE: &str = "/write";
-/// The path of the status.
+/// Path of the status.
 pub const STATUS: &str = "/status";
-/// The prefix of the paths that cancel a request.
+/// Path prefix for cancelling a request by its identifier.
 pub const REQUESTS: &str = "/requests/";
 
-/// The header with the time left, in microseconds.
+/// Request header: remaining time until the deadline, in microseconds.
 pub const DEADLINE: &str = "x-deadline-us";
-/// The header that names the request, for cancellation.
+/// Request header: identifier of the request, used for cancellation.
 pub const REQUEST: &str = "x-request-id";
-/// The header with the idempotency key of a write.
+/// Request header: idempotency key of a write.
 pub const KEY: &str = "idempotency-key";
-/// The header of an answer that names the run of the searcher.
+/// Response header: identifier of the searcher's run, which changes with every restart.
 pub const RUN: &str = "x-run";
-/// The header of an answer that lists the versions held, separated by commas.
+/// Response header: comma-separated list of the index versions that the searcher holds.
 pub const VERSIONS: &str = "x-versions";
-/// The header of an answer that is present when the searcher is leaving.
+/// Response header: present if the searcher is shutting down.
 pub const LEAVING: &str = "x-leaving";
-/// The header of a refusal that says after how many milliseconds to come back.
+/// Response header of a rejected request: milliseconds after which to retry.
 pub const RETRY_AFTER: &str = "x-retry-after-ms";
-/// The header of a refused write that says that it had no effect.
+/// Response header of a rejected write: guarantees that the write had no effect.
 pub const NOT_RUN: &str = "x-not-run";
 
 /// A sub-query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Search {
-    /// The position of the shard in the partition map.
+    /// Index of the shard in the partition map.
     pub shard: usize,
-    /// The epoch of the partition map.
+    /// Epoch of the partition map.
     pub epoch: Epoch,
-    /// The version to read.
+    /// Index version to read.
     pub version: Version,
-    /// What is asked.
+    /// The query.
     pub query: Shape,
 }
 
-/// The answer to a sub-query.
+/// The response to a sub-query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Found {
-    /// The position of the shard in the partition map.
+    /// Index of the shard in the partition map.
     pub shard: usize,
-    /// The epoch of the partition map.
+    /// Epoch of the partition map.
     pub epoch: Epoch,
-    /// The version that was read.
+    /// Index version that was read.
     pub version: Version,
-    /// How many documents the shard holds at that version.
+    /// Number of documents in the shard at that version.
     pub documents: u64,
     /// The hits.
     pub hits: Vec<Hit>,
@@ -65,15 +66,15 @@
 /// A non-idempotent write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The record to which the entry is added.
+    /// The record to append to.
     pub record: Name,
-    /// The entry.
+    /// The content to append.
     pub body: Name,
 }
 
-/// The answer to a write that took effect.
+/// The response to a write that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// The number of the entry in the searcher's ledger.
+    /// Number of the appended entry in the searcher's ledger.
     pub receipt: Name,
 }
--- a/crates/upstream/src/rank.rs
+++ b/crates/upstream/src/rank.rs
@@ -1,10 +1,11 @@
-//! The order in which a shard's replicas are tried.
+//! Replica selection.
 //!
-//! With two replicas, "two choices" means both: the one with the lower expected
-//! time goes first. The expected time is the mean latency, which holds the distance
-//! between zones and regions, times the work ahead. A searcher that leaves is never
-//! in the order. An ejected one goes last rather than never, so that ejection can't
-//! take more away than the service can bear.
+//! Replicas are ordered by expected latency: the mean latency, which includes the
+//! network distance between zones and regions, scaled by the queue ahead of the
+//! request. With two replicas per shard, the power-of-two-choices rule amounts to comparing
+//! both. Searchers that are shutting down are left out.
+//! Ejected ones are tried last instead of being left out, so that ejections can't
+//! remove more capacity than the service can spare.
 
 use std::time::{Duration, Instant};
 
@@ -12,46 +13,46 @@
 
 use crate::health::Health;
 
-/// How much longer a cold searcher is taken to need.
+/// Factor applied to the expected latency of a searcher that restarted recently.
 const COLD_FACTOR: u32 = 3;
 
-/// A replica that could be asked.
+/// A replica that a request could be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The searcher.
     pub searcher: Searcher,
-    /// What is known of it.
+    /// Observed health of the searcher.
     pub health: &'a Health,
-    /// How much of our work it has or will get.
+    /// Number of requests from this process that are running or queued there.
     pub load: usize,
-    /// How many slots it has for us.
+    /// Number of slots available to this process.
     pub slots: usize,
 }
 
 impl Candidate<'_> {
-    fn expected(&self, now: Instant) -> Duration {
-        let rounds = 1 + self.load / self.slots.max(1);
-        let cold = if self.health.is_cold(now) { COLD_FACTOR } else { 1 };
-        self.health.mean() * rounds as u32 * cold
+    fn expected_latency(&self, now: Instant) -> Duration {
+        let batches = 1 + self.load / self.slots.max(1);
+        let cold_factor = if self.health.is_cold(now) { COLD_FACTOR } else { 1 };
+        self.health.mean() * batches as u32 * cold_factor
     }
 
-    fn lacks(&self, version: Option<Version>) -> bool {
+    fn lacks_version(&self, version: Option<Version>) -> bool {
         let held = self.health.versions();
         version.is_some_and(|version| !held.is_empty() && !held.contains(&version))
     }
 }
 
-/// Ranks the replicas of a shard for a version, the best first.
+/// Orders the replicas of a shard for a request that reads `version`, the best first.
 ///
-/// A replica that is believed to lack the version goes behind those that may hold
-/// it; the belief may be old, so it stays in the order.
+/// Replicas whose last known versions don't include `version` come after the others.
+/// They are kept because that information may be outdated.
 pub fn rank(now: Instant, version: Option<Version>, candidates: &[Candidate<'_>]) -> Vec<Searcher> {
     let mut order: Vec<_> = candidates
         .iter()
         .filter(|candidate| !candidate.health.is_leaving())
         .map(|candidate| {
             let ejected = candidate.health.is_ejected(now);
-            let key = (candidate.lacks(version), ejected, candidate.expected(now));
+            let key = (candidate.lacks_version(version), ejected, candidate.expected_latency(now));
             (key, candidate.searcher)
         })
         .collect();
--- a/crates/upstream/src/slots.rs
+++ b/crates/upstream/src/slots.rs
@@ -1,8 +1,9 @@
-//! The queue before a searcher's slots, in the order of deadlines.
+//! Admission control for one searcher: a fixed number of slots and a queue of waiters,
+//! ordered by deadline.
 //!
-//! Work that can't be done by its deadline is refused at once, with the time after
-//! which a slot should be free, instead of waiting for nothing. Invariant: at most
-//! `slots` waiters have been let through and not yet left.
+//! A request that can't finish by its deadline is rejected immediately, with an estimate
+//! of when a slot will be free. Invariant: no request is admitted while `slots` or more
+//! admitted requests have not yet released their slots.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,42 +11,43 @@
 
 use bergamot_base::Deadline;
 
-/// The weight of a new sample in the mean service time, as a divisor.
+/// Divisor of the moving average of the service time: a new sample has weight 1 / `SMOOTHING`.
 const SMOOTHING: u32 = 8;
 
-/// The mean service time assumed before the first sample.
-const FIRST_GUESS: Duration = Duration::from_millis(2);
+/// Mean service time that is assumed before the first sample.
+const INITIAL_MEAN: Duration = Duration::from_millis(2);
 
-/// What became of a unit of work at the door.
+/// The result of asking for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
-    /// A slot is free: go.
-    Go,
-    /// Wait until the waiter is handed back by [`Slots::leave`].
-    Wait,
-    /// There is no room before the deadline; ask again after the given time.
-    Refuse(Duration),
+pub enum Admission {
+    /// A slot was free and now belongs to the request.
+    Admitted,
+    /// The request was queued until [`Slots::release`] returns its waiter.
+    Queued,
+    /// The queue is full or the deadline can't be met. Retry after the given time.
+    Rejected(Duration),
 }
 
-/// The slots of one searcher as one home uses them, with its queue of waiters.
+/// The slots of one searcher that this process may use, and the queue for them.
 #[derive(Debug)]
 pub struct Slots<T> {
     width: usize,
-    longest: usize,
-    busy: usize,
-    serial: u64,
+    max_queued: usize,
+    in_use: usize,
+    /// Orders waiters with equal deadlines by arrival.
+    sequence: u64,
     queue: BTreeMap<(Deadline, u64), T>,
     mean: Duration,
 }
 
 impl<T> Slots<T> {
-    /// Makes the queue for a number of slots and at most `longest` waiters.
-    pub fn new(slots: usize, longest: usize) -> Self {
+    /// Creates a queue for the given number of slots with at most `max_queued` waiters.
+    pub fn new(slots: usize, max_queued: usize) -> Self {
         let queue = BTreeMap::new();
-        Self { width: slots, longest, busy: 0, serial: 0, queue, mean: FIRST_GUESS }
+        Self { width: slots, max_queued, in_use: 0, sequence: 0, queue, mean: INITIAL_MEAN }
     }
 
-    /// Changes the number of slots; work already let through stays.
+    /// Changes the number of slots. Requests that were already admitted keep theirs.
     pub fn resize(&mut self, slots: usize) {
         self.width = slots;
     }
@@ -55,48 +57,49 @@
         self.width
     }
 
-    /// Returns how much work is let through or waits.
+    /// Returns the number of admitted and queued requests.
     pub fn load(&self) -> usize {
-        self.busy + self.queue.len()
+        self.in_use + self.queue.len()
     }
 
-    /// Lets work through, queues it or refuses it at once.
-    pub fn enter(&mut self, now: Instant, deadline: Deadline, waiter: T) -> Entry {
-        if self.busy < self.width {
-            self.busy += 1;
-            return Entry::Go;
+    /// Admits, queues or rejects a request.
+    pub fn acquire(&mut self, now: Instant, deadline: Deadline, waiter: T) -> Admission {
+        if self.in_use < self.width {
+            self.in_use += 1;
+            return Admission::Admitted;
         }
         let ahead = self.queue.range(..(deadline, u64::MAX)).count();
-        let wait = self.wait(ahead);
-        if self.queue.len() >= self.longest || wait + self.mean > deadline.left(now) {
-            return Entry::Refuse(wait.max(Duration::from_millis(1)));
+        let wait = self.expected_wait(ahead);
+        if self.queue.len() >= self.max_queued || wait + self.mean > deadline.left(now) {
+            return Admission::Rejected(wait.max(Duration::from_millis(1)));
         }
-        self.serial += 1;
-        self.queue.insert((deadline, self.serial), waiter);
-        Entry::Wait
+        self.sequence += 1;
+        self.queue.insert((deadline, self.sequence), waiter);
+        Admission::Queued
     }
 
-    /// Frees a slot and hands it to the waiter with the earliest live deadline.
+    /// Releases a slot and passes it to the waiter with the earliest deadline.
     ///
-    /// Waiters whose deadline has passed are dropped; they have timed out already.
-    pub fn leave(&mut self, now: Instant, took: Option<Duration>) -> Option<T> {
+    /// Waiters whose deadline has passed are dropped, because their requests have already
+    /// timed out. `took` is the service time of the finished request, if it was measured.
+    pub fn release(&mut self, now: Instant, took: Option<Duration>) -> Option<T> {
         if let Some(took) = took {
             self.mean = (self.mean * (SMOOTHING - 1) + took) / SMOOTHING;
         }
-        self.busy = self.busy.saturating_sub(1);
-        if self.busy >= self.width {
+        self.in_use = self.in_use.saturating_sub(1);
+        if self.in_use >= self.width {
             return None;
         }
         while let Some(((deadline, _), waiter)) = self.queue.pop_first() {
             if !deadline.passed(now) {
-                self.busy += 1;
+                self.in_use += 1;
                 return Some(waiter);
             }
         }
         None
     }
 
-    fn wait(&self, ahead: usize) -> Duration {
+    fn expected_wait(&self, ahead: usize) -> Duration {
         self.mean * (ahead + 1) as u32 / self.width.max(1) as u32
     }
 }
@@ -107,7 +110,7 @@
         write!(
             f,
             "slots {}/{} queued {} mean {mean:.1} ms",
-            self.busy,
+            self.in_use,
             self.width,
             self.queue.len()
         )
--- a/crates/upstream/tests/filetests.rs
+++ b/crates/upstream/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Traces of the decisions towards searchers.
+//! Trace tests of slots, hedged requests, health and replica selection.
 
 use std::error::Error;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use bergamot_base::{Budget, Deadline, Entity, Name, Searcher};
 use bergamot_filetest::{check, trace};
 use bergamot_query::Reason;
-use bergamot_upstream::{Candidate, Entry, Health, Next, Race, Slots, rank};
+use bergamot_upstream::{Admission, Candidate, Health, Next, Race, Slots, rank};
 
 fn slots(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| {
@@ -18,17 +18,19 @@
 
 fn slots_step(slots: &mut Slots<String>, now: Instant, command: &[&str]) -> String {
     match command {
-        ["enter", name, ms] => {
+        ["acquire", name, ms] => {
             let left = Duration::from_millis(number(ms));
-            match slots.enter(now, Deadline::after(now, left), (*name).to_owned()) {
-                Entry::Go => "go".to_owned(),
-                Entry::Wait => "wait".to_owned(),
-                Entry::Refuse(after) => format!("come back in {} ms", after.as_millis()),
+            match slots.acquire(now, Deadline::after(now, left), (*name).to_owned()) {
+                Admission::Admitted => "admitted".to_owned(),
+                Admission::Queued => "queued".to_owned(),
+                Admission::Rejected(after) => {
+                    format!("rejected, retry after {} ms", after.as_millis())
+                }
             }
         }
-        ["leave", took] => {
-            let next = slots.leave(now, Some(Duration::from_millis(number(took))));
-            next.map_or("nobody waits".to_owned(), |name| format!("{name} goes"))
+        ["release", took] => {
+            let next = slots.release(now, Some(Duration::from_millis(number(took))));
+            next.map_or("no waiter".to_owned(), |name| format!("{name} admitted"))
         }
         ["resize", width] => {
             slots.resize(number(width) as usize);
@@ -39,24 +41,24 @@
     }
 }
 
-fn race(path: &Path) -> Result<(), Box<dyn Error>> {
+fn hedged_request(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| {
-        let mut race = Race::new([]);
+        let mut request = Race::new([]);
         let mut budget = Budget::new(0.5, 1.0);
-        trace(input, |_now, command| race_step(&mut race, &mut budget, command))
+        trace(input, |_now, command| hedged_request_step(&mut request, &mut budget, command))
     })
 }
 
-fn race_step(race: &mut Race, budget: &mut Budget, command: &[&str]) -> String {
+fn hedged_request_step(request: &mut Race, budget: &mut Budget, command: &[&str]) -> String {
     let searcher = |word: &str| Searcher::from_index(number(word) as usize);
     match command {
         ["replicas", replicas @ ..] => {
-            *race = Race::new(replicas.iter().map(|word| searcher(word)));
-            next(race.start())
+            *request = Race::new(replicas.iter().map(|word| searcher(word)));
+            next(request.start())
         }
-        ["hedge"] => race.hedge(budget).map_or("none".to_owned(), |next| format!("send {next}")),
-        ["fail", word] => next(race.fail(searcher(word), Reason::Busy, budget)),
-        ["win", word] => format!("cancel {:?}", race.win(searcher(word))),
+        ["hedge"] => request.hedge(budget).map_or("none".to_owned(), |next| format!("send {next}")),
+        ["fail", word] => next(request.fail(searcher(word), Reason::Busy, budget)),
+        ["win", word] => format!("cancel {:?}", request.win(searcher(word))),
         ["earn"] => {
             budget.earn();
             budget.to_string()
@@ -87,16 +89,16 @@
         };
         let health = &mut healths[number(which) as usize];
         match command {
-            ["answered", ms] => health.answered(Duration::from_millis(number(ms))),
-            ["failed"] => health.failed(now),
-            ["seen", run] => health.seen(now, &Name::from(*run), false),
-            ["says_leaving", run] => health.seen(now, &Name::from(*run), true),
-            ["told_leaving"] => return format!("news {}", health.told_leaving(None)),
-            ["told_leaving", run] => {
-                return format!("news {}", health.told_leaving(Some(&Name::from(*run))));
+            ["success", ms] => health.record_success(Duration::from_millis(number(ms))),
+            ["failure"] => health.record_failure(now),
+            ["run", run] => health.record_run(now, &Name::from(*run), false),
+            ["run_leaving", run] => health.record_run(now, &Name::from(*run), true),
+            ["notice_leaving"] => return format!("new {}", health.told_leaving(None)),
+            ["notice_leaving", run] => {
+                return format!("new {}", health.told_leaving(Some(&Name::from(*run))));
             }
-            ["holds", versions] => {
-                health.holds(versions.split(',').filter_map(|version| version.parse().ok()));
+            ["versions", versions] => {
+                health.set_versions(versions.split(',').filter_map(|version| version.parse().ok()));
             }
             _ => return "unknown command".to_owned(),
         }
@@ -121,6 +123,6 @@
 
 datatest_stable::harness! {
     { test = slots, root = "tests/filetests/slots", pattern = r"\.txt$" },
-    { test = race, root = "tests/filetests/race", pattern = r"\.txt$" },
+    { test = hedged_request, root = "tests/filetests/hedged_request", pattern = r"\.txt$" },
     { test = health, root = "tests/filetests/health", pattern = r"\.txt$" },
 }
