--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -216,7 +216,7 @@
         });
     }
     if answer.services.len() > 1 {
-        shape.arrange(&mut answer.hits);
+        shape.sort_and_truncate(&mut answer.hits);
     }
     answer
 }
--- a/crates/entry/src/read.rs
+++ b/crates/entry/src/read.rs
@@ -119,7 +119,7 @@
         ))
     })?;
     let shape = Shape::from(body);
-    match shape.flaw() {
+    match shape.violated_limit() {
         Some(allowed) => Err(bad(format!("{shape:?}, allowed: {allowed}"))),
         None => Ok(shape),
     }
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -162,14 +162,14 @@
         if catalog.0 != current.document.hash {
             *catalog = (current.document.hash, Catalog::default());
         }
-        catalog.1.best(shards)
+        catalog.1.best_version(shards)
     }
 
     fn learn(&self, current: &Current, versions: Vec<(Shard, Vec<Version>)>) {
         let mut catalog = lock(&self.catalog);
         if catalog.0 == current.document.hash {
             for (shard, held) in versions.into_iter().filter(|(_, held)| !held.is_empty()) {
-                catalog.1.learn(shard, held);
+                catalog.1.set_versions(shard, held);
             }
         }
     }
@@ -220,7 +220,7 @@
                     attempts += reply.attempts;
                     self.learn(&plan.current, reply.versions);
                     for (shard, reason) in reply.missing {
-                        merge.miss(shard, reason);
+                        merge.mark_missing(shard, reason);
                     }
                     for partial in reply.partials {
                         let shard = partial.shard;
@@ -238,7 +238,7 @@
                         Silent::Homeless | Silent::Ahead(_) => Reason::Unreachable,
                     };
                     for shard in shards {
-                        merge.miss(*shard, reason);
+                        merge.mark_missing(*shard, reason);
                     }
                     if let Silent::Ahead(revision) = silent {
                         ahead = ahead.max(Some(revision));
--- a/crates/entry/src/write.rs
+++ b/crates/entry/src/write.rs
@@ -193,15 +193,15 @@
 
     async fn forward(&self, incarnation: Incarnation, key: Key, order: Order) -> Outcome {
         let Some(record) = self.node.find_run(incarnation) else {
-            return Owner::lost(true);
+            return Owner::unavailable_outcome(true);
         };
         if record.endpoint.role != Role::Entry || record.state == State::Left {
-            return Owner::lost(true);
+            return Owner::unavailable_outcome(true);
         }
         let port = self.node.settings().ports.entry_peers;
         let address = SocketAddr::from((record.endpoint.ip, port));
         let Ok(client) = self.peers.get(address).await else {
-            return Owner::lost(false);
+            return Owner::unavailable_outcome(false);
         };
         let Order { workspace, service, record, body, deadline } = order;
         match client.execute(context(deadline), workspace, service, key, record, body).await {
@@ -209,7 +209,7 @@
             Err(error) => {
                 log::debug!("write: Forwarding to {address} failed: {error}.");
                 self.peers.forget(address).await;
-                Owner::lost(false)
+                Owner::unavailable_outcome(false)
             }
         }
     }
--- a/crates/gather/src/holding.rs
+++ b/crates/gather/src/holding.rs
@@ -7,14 +7,14 @@
 use bergamot_config::Settings;
 use bergamot_members::{Endpoint, Homes};
 use bergamot_node::Current;
-use bergamot_upstream::{Client, Fleet};
+use bergamot_upstream::{Client, ClientSet};
 
 /// What a gather holds under one document.
 #[derive(Clone, Debug)]
 pub(crate) struct Holding {
     pub(crate) current: Arc<Current>,
     pub(crate) cells: BTreeSet<Cell>,
-    pub(crate) fleet: Fleet,
+    pub(crate) fleet: ClientSet,
 }
 
 impl Holding {
@@ -33,8 +33,9 @@
             .flat_map(|cell| &document.layout.cells[*cell].shards)
             .flat_map(|shard| document.shards[*shard].replicas.iter().copied())
             .collect();
-        let none = Fleet::default();
-        let fleet = before.map_or(&none, |before| &before.fleet).next(document, settings, &held);
+        let none = ClientSet::default();
+        let fleet =
+            before.map_or(&none, |before| &before.fleet).reconfigured(document, settings, &held);
         Self { current, cells, fleet }
     }
 
--- a/crates/gather/src/keeper.rs
+++ b/crates/gather/src/keeper.rs
@@ -35,8 +35,8 @@
 /// Takes in the word that a run of a searcher is leaving.
 pub(crate) fn told_leaving(inner: &Inner, searcher: SocketAddr, run: Option<&Name>) {
     let Some(holding) = inner.holding() else { return };
-    if let Some(client) = holding.fleet.at(searcher)
-        && client.health().told_leaving(run)
+    if let Some(client) = holding.fleet.client_at(searcher)
+        && client.health().record_leaving_notice(run)
     {
         log::info!("upstream: Searcher {searcher} is leaving, says the fleet.");
     }
@@ -66,7 +66,7 @@
                 ask_status(client);
             }
         }
-        let count = holding.fleet.count();
+        let count = holding.fleet.totals();
         inner.meter.connections.set(count.open as i64);
         inner.meter.dials.set(count.dials as i64);
         inner.meter.refused.set(count.refused as i64);
@@ -98,7 +98,7 @@
         let failed = client.pool().warm().await.is_err();
         // A refusal while others are open is a full searcher, not a dead one.
         if failed && client.pool().usage().open == 0 {
-            client.health().rest(Instant::now(), DIAL_BACKOFF);
+            client.health().eject_for(Instant::now(), DIAL_BACKOFF);
         }
     });
 }
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -13,7 +13,7 @@
 use bergamot_quarantine::Door;
 use bergamot_query::Reason;
 use bergamot_upstream::protocol::Write;
-use bergamot_upstream::{Call, Client, Effect};
+use bergamot_upstream::{Client, RequestContext, WriteResult};
 use bergamot_wire::{
     Gather as Requests, Refusal, Reply, SubQuery, WriteOrder, run_requests, serve_requests,
     transport,
@@ -70,8 +70,8 @@
         let next = Holding::next(before.as_deref(), current, &homes, self.node.me(), settings);
         // Searchers that are held from now on may have been reported before.
         for (searcher, run) in self.node.leaving() {
-            if let Some(client) = next.fleet.at(searcher) {
-                client.health().told_leaving(Some(&run));
+            if let Some(client) = next.fleet.client_at(searcher) {
+                client.health().record_leaving_notice(Some(&run));
             }
         }
         self.holding.store(Some(Arc::new(next)));
@@ -305,7 +305,7 @@
         let Some(client) = first_staying(holding, replicas) else {
             return Outcome::not_run(format!("every replica is leaving ({})", Reason::Leaving));
         };
-        let call = Call {
+        let call = RequestContext {
             id: Name::from(order.key.to_string()),
             deadline,
             cancel: CancellationToken::new(),
@@ -314,9 +314,9 @@
         let node = &self.0.node;
         let key = order.key.to_string();
         match client.write(&call, &key, &write, || node.is_awake()).await {
-            Effect::Done(receipt) => Outcome::done(receipt),
-            Effect::NotRun(reason) => Outcome::not_run(reason),
-            Effect::Unknown(reason) => Outcome::unknown(reason),
+            WriteResult::Done(receipt) => Outcome::done(receipt),
+            WriteResult::NotRun(reason) => Outcome::not_run(reason),
+            WriteResult::Unknown(reason) => Outcome::unknown(reason),
         }
     }
 }
--- a/crates/gather/src/shard.rs
+++ b/crates/gather/src/shard.rs
@@ -7,8 +7,10 @@
 use bergamot_base::{Budget, Deadline, Name, Searcher, Shard};
 use bergamot_quarantine::{Door, Fingerprint, Outcome, Pass};
 use bergamot_query::{Partial, Pin, Reason, Shape};
-use bergamot_upstream::protocol::{Found, Search};
-use bergamot_upstream::{Call, Candidate, Client, Fault, Next, Race, rank};
+use bergamot_upstream::protocol::{Search, SearchReply};
+use bergamot_upstream::{
+    Candidate, Client, HedgedRequest, NextAction, RequestContext, SearcherError, rank,
+};
 use futures::StreamExt;
 use futures::future::BoxFuture;
 use futures::stream::FuturesUnordered;
@@ -45,7 +47,7 @@
 }
 
 /// The end of an attempt: its number, the searcher, the result and the time it took.
-type Finished = (u32, Searcher, Result<Found, Fault>, Duration);
+type Finished = (u32, Searcher, Result<SearchReply, SearcherError>, Duration);
 
 type Attempt<'a> = BoxFuture<'a, Finished>;
 
@@ -72,7 +74,7 @@
     if is_gone(job, shard) {
         return Ended { result: Err(Reason::VersionGone), attempts: 0 };
     }
-    let mut race = Race::new(order(inner, job, shard));
+    let mut race = HedgedRequest::new(order(inner, job, shard));
     let running = FuturesUnordered::new();
     let latest = HashMap::new();
     let mut attempts =
@@ -83,13 +85,13 @@
     Ended { result, attempts: attempts.count }
 }
 
-async fn drive(race: &mut Race, attempts: &mut Attempts<'_>) -> Result<Partial, Reason> {
+async fn drive(race: &mut HedgedRequest, attempts: &mut Attempts<'_>) -> Result<Partial, Reason> {
     let job = attempts.job;
     let settings = attempts.inner.node.settings();
     match race.start() {
-        Next::Send(first) => attempts.send(first),
-        Next::Miss(reason) => return Err(reason),
-        Next::Wait => {}
+        NextAction::Send(first) => attempts.send(first),
+        NextAction::GiveUp(reason) => return Err(reason),
+        NextAction::Wait => {}
     }
     {
         let mut tail = lock(&job.tail);
@@ -108,7 +110,7 @@
                 }
                 let reason = match result.map(|found| accept(job, attempts.shard, found)) {
                     Ok(Ok(partial)) => {
-                        race.win(searcher);
+                        race.succeed(searcher);
                         lock(&job.tail).pace.record(took);
                         return Ok(partial);
                     }
@@ -124,9 +126,9 @@
                     return Err(reason);
                 }
                 match retry(race, attempts, searcher, reason) {
-                    Next::Send(next) => attempts.send(next),
-                    Next::Wait => {}
-                    Next::Miss(reason) => return Err(reason),
+                    NextAction::Send(next) => attempts.send(next),
+                    NextAction::Wait => {}
+                    NextAction::GiveUp(reason) => return Err(reason),
                 }
             }
             () = tokio::time::sleep_until(hedge_at.into()), if hedges > 0 => {
@@ -147,7 +149,12 @@
     }
 }
 
-fn retry(race: &mut Race, attempts: &Attempts<'_>, searcher: Searcher, reason: Reason) -> Next {
+fn retry(
+    race: &mut HedgedRequest,
+    attempts: &Attempts<'_>,
+    searcher: Searcher,
+    reason: Reason,
+) -> NextAction {
     let mut tail = lock(&attempts.job.tail);
     if attempts.inner.node.settings().gather.retry {
         return race.fail(searcher, reason, &mut tail.retries);
@@ -162,9 +169,9 @@
     }
 
     /// Finds out whether a failed attempt has ended its searcher.
-    async fn note_end(&mut self, searcher: Searcher, fault: &Fault) {
+    async fn note_end(&mut self, searcher: Searcher, fault: &SearcherError) {
         let mut ended = false;
-        if fault.cut
+        if fault.connection_lost
             && let Some(client) = self.job.holding.fleet.client(searcher)
         {
             let trial = self.alone || self.trial;
@@ -211,7 +218,7 @@
         let cancel = CancellationToken::new();
         // An earlier attempt at the searcher is cancelled: its guard drops.
         self.latest.insert(searcher, (number, cancel.clone().drop_guard()));
-        let call = Call {
+        let call = RequestContext {
             id: Name::from(format!("{}.{position}.{}", job.id, self.count)),
             deadline: job.deadline,
             cancel,
@@ -232,7 +239,7 @@
 }
 
 /// Checks that an answer is for the shard and the snapshot that were asked for.
-fn accept(job: &Job, shard: Shard, found: Found) -> Result<Partial, Reason> {
+fn accept(job: &Job, shard: Shard, found: SearchReply) -> Result<Partial, Reason> {
     let position = job.holding.current.document.shards[shard].position;
     if found.shard != position {
         return Err(Reason::BadReply);
@@ -282,7 +289,7 @@
         .zip(&healths)
         .map(|((searcher, client), health)| {
             let slots = client.slots();
-            Candidate { searcher: *searcher, health, load: slots.load(), slots: slots.width() }
+            Candidate { searcher: *searcher, health, load: slots.load(), slots: slots.capacity() }
         })
         .collect();
     if inner.node.settings().gather.pick {
@@ -294,5 +301,5 @@
 
 fn hedge_delay(job: &Job, floor: Duration) -> Duration {
     let left = job.deadline.left(Instant::now());
-    lock(&job.tail).pace.slow().map_or(left / FIRST_HEDGE, |slow| slow.max(floor))
+    lock(&job.tail).pace.estimate().map_or(left / FIRST_HEDGE, |slow| slow.max(floor))
 }
--- a/crates/gather/src/suspects.rs
+++ b/crates/gather/src/suspects.rs
@@ -35,7 +35,7 @@
         client: &Client,
         trial: bool,
     ) -> bool {
-        if !client.pool().is_gone().await {
+        if !client.pool().searcher_exited().await {
             return false;
         }
         let (address, run) = (client.address().to_string(), client.health().run().cloned());
--- a/crates/query/src/merge.rs
+++ b/crates/query/src/merge.rs
@@ -92,25 +92,25 @@
     }
 
     /// Records why a shard did not answer. A result that was already merged is kept.
-    pub fn miss(&mut self, shard: Shard, reason: Reason) {
+    pub fn mark_missing(&mut self, shard: Shard, reason: Reason) {
         if let Some(state) = self.shards.get_mut(&shard) {
             state.reason = reason;
         }
     }
 
     /// Returns the shards that have not answered.
-    pub fn open(&self) -> Vec<Shard> {
+    pub fn pending(&self) -> Vec<Shard> {
         self.shards.iter().filter(|(_, state)| !state.answered).map(|(shard, _)| *shard).collect()
     }
 
     /// Returns whether every queried shard has answered.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.shards.values().all(|state| state.answered)
     }
 
     /// Returns the sorted hits and their coverage.
     pub fn finish(mut self, shape: &Shape) -> Outcome {
-        shape.arrange(&mut self.hits);
+        shape.sort_and_truncate(&mut self.hits);
         let asked = self.shards.len();
         let missing: Vec<_> = self
             .shards
--- a/crates/query/src/pin.rs
+++ b/crates/query/src/pin.rs
@@ -39,7 +39,7 @@
 
 impl Catalog {
     /// Replaces the known versions of a shard.
-    pub fn learn(&mut self, shard: Shard, versions: impl IntoIterator<Item = Version>) {
+    pub fn set_versions(&mut self, shard: Shard, versions: impl IntoIterator<Item = Version>) {
         self.shards.insert(shard, versions.into_iter().collect());
     }
 
@@ -52,7 +52,7 @@
     ///
     /// Shards without known versions are ignored: the query itself will show whether
     /// they hold the version.
-    pub fn newest(&self, shards: &[Shard]) -> Option<Version> {
+    pub fn newest_common(&self, shards: &[Shard]) -> Option<Version> {
         self.common(shards).and_then(|versions| versions.last().copied())
     }
 
@@ -61,8 +61,8 @@
     ///
     /// Without a common version no complete result is possible, and the version that
     /// most shards hold gives the largest consistent partial result.
-    pub fn best(&self, shards: &[Shard]) -> Option<Version> {
-        self.newest(shards).or_else(|| {
+    pub fn best_version(&self, shards: &[Shard]) -> Option<Version> {
+        self.newest_common(shards).or_else(|| {
             let mut counts = BTreeMap::<Version, usize>::new();
             for version in shards.iter().filter_map(|shard| self.shards.get(shard)).flatten() {
                 *counts.entry(*version).or_default() += 1;
@@ -78,7 +78,10 @@
     }
 
     /// Returns, for each service, the versions common to all of its known shards.
-    pub fn digest(&self, service_of: impl Fn(Shard) -> Service) -> Vec<(Service, Vec<Version>)> {
+    pub fn common_by_service(
+        &self,
+        service_of: impl Fn(Shard) -> Service,
+    ) -> Vec<(Service, Vec<Version>)> {
         let mut services = BTreeMap::<Service, BTreeSet<Version>>::new();
         for (shard, versions) in &self.shards {
             services
--- a/crates/query/src/shape.rs
+++ b/crates/query/src/shape.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sorts the combined hits of all shards and truncates them to the requested number.
-    pub fn arrange(&self, hits: &mut Vec<Hit>) {
+    pub fn sort_and_truncate(&self, hits: &mut Vec<Hit>) {
         match self {
             Self::Scan | Self::Record { .. } => hits.sort_unstable_by(|a, b| a.key.cmp(&b.key)),
             Self::Top { k } => {
@@ -58,7 +58,7 @@
     }
 
     /// Returns the allowed parameter range if this shape violates it.
-    pub fn flaw(&self) -> Option<&'static str> {
+    pub fn violated_limit(&self) -> Option<&'static str> {
         match self {
             Self::Top { k } if *k == 0 || *k > MAX_HITS => Some("k from 1 to 10000"),
             Self::Record { key } if key.is_empty() || key.len() > 256 => {
--- a/crates/query/tests/filetests.rs
+++ b/crates/query/tests/filetests.rs
@@ -18,11 +18,11 @@
     match command {
         ["learn", shard, versions] => {
             let versions = versions.split(',').filter_map(|version| version.parse().ok());
-            catalog.learn(self::shard(shard), versions);
-            format!("{:?}", catalog.digest(|_| Service::from_index(0)))
+            catalog.set_versions(self::shard(shard), versions);
+            format!("{:?}", catalog.common_by_service(|_| Service::from_index(0)))
         }
-        ["newest", shards] => format!("{:?}", catalog.newest(&self::shards(shards))),
-        ["best", shards] => format!("{:?}", catalog.best(&self::shards(shards))),
+        ["newest", shards] => format!("{:?}", catalog.newest_common(&self::shards(shards))),
+        ["best", shards] => format!("{:?}", catalog.best_version(&self::shards(shards))),
         _ => "unknown command".to_owned(),
     }
 }
@@ -61,11 +61,11 @@
                 documents: 10,
                 hits: ranks.iter().map(hit).collect(),
             };
-            format!("{:?} open {:?}", merge.offer(partial), merge.open())
+            format!("{:?} open {:?}", merge.offer(partial), merge.pending())
         }
         ["miss", shard] => {
-            merge.miss(self::shard(shard), Reason::Busy);
-            format!("open {:?}", merge.open())
+            merge.mark_missing(self::shard(shard), Reason::Busy);
+            format!("open {:?}", merge.pending())
         }
         _ => "unknown command".to_owned(),
     }
--- a/crates/query/tests/properties.rs
+++ b/crates/query/tests/properties.rs
@@ -29,16 +29,16 @@
         let asked = (0..SHARDS).map(|i| (Shard::from_index(i), i));
         let mut merge = Merge::new(PIN, SHARDS, asked);
         for partial in partials {
-            merge.miss(partial.shard, Reason::Busy);
+            merge.mark_missing(partial.shard, Reason::Busy);
             // Rejections are expected: the generator also produces invalid results.
             let _ = merge.offer(partial);
         }
-        let whole = merge.whole();
+        let is_complete = merge.is_complete();
         let outcome = merge.finish(&Shape::Scan);
         let stamp = format!("v{}e{}", PIN.version, PIN.epoch);
         prop_assert!(outcome.hits.iter().all(|hit| *hit.body == *stamp));
         let coverage = outcome.coverage;
-        prop_assert_eq!(coverage.complete, whole);
+        prop_assert_eq!(coverage.complete, is_complete);
         prop_assert_eq!(coverage.answered as u64, coverage.documents);
         prop_assert_eq!(coverage.answered, outcome.hits.len());
         prop_assert_eq!(coverage.answered + coverage.missing.len(), SHARDS);
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -94,7 +94,7 @@
         Miss::new(Ending::NotSent, fault)
     })?;
     if !relay.takes_work(searcher) {
-        lease.give_back().await;
+        lease.release().await;
         return Err(Miss::new(Ending::NotSent, "the searcher leaves"));
     }
     let sent = Instant::now();
@@ -139,7 +139,7 @@
         let ending = if reading.not_run { Ending::NotRun } else { Ending::Unknown };
         Miss::new(ending, error)
     })?;
-    tokio::spawn(lease.give_back());
+    tokio::spawn(lease.release());
     judge(relay, link, Response::from_parts(parts, body.to_bytes()), reading)
 }
 
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -59,7 +59,7 @@
 
     /// Finds out whether the searcher has ended.
     pub(crate) async fn find_ended(&self) -> bool {
-        let ended = self.pool.is_gone().await;
+        let ended = self.pool.searcher_exited().await;
         self.ended.fetch_or(ended, Ordering::Relaxed);
         ended
     }
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -10,7 +10,7 @@
 use bergamot_base::{Name, hash_bytes};
 use bergamot_dispatch::{Crossings, Distance, Need, rank, sufficient};
 use bergamot_registry::{Incarnation, Upstream};
-use bergamot_upstream::Pace;
+use bergamot_upstream::LatencyEstimator;
 use bergamot_wire::Quiet;
 use rand::RngExt;
 
@@ -140,7 +140,8 @@
     pub(crate) fn note_pace(&self, route: &Name, took: Duration) {
         let usual = self.settings.policy.hedge.percentile;
         let mut state = self.lock();
-        let pace = state.paces.entry(Name::clone(route)).or_insert_with(|| Pace::new(usual));
+        let pace =
+            state.paces.entry(Name::clone(route)).or_insert_with(|| LatencyEstimator::new(usual));
         pace.record(took);
     }
 
--- a/crates/standin/src/corpus.rs
+++ b/crates/standin/src/corpus.rs
@@ -50,7 +50,7 @@
             }
             _ => self.keys().map(|key| self.hit(&key, version)).collect(),
         };
-        shape.arrange(&mut hits);
+        shape.sort_and_truncate(&mut hits);
         (self.keys().count() as u64, hits)
     }
 }
--- a/crates/standin/src/searcher.rs
+++ b/crates/standin/src/searcher.rs
@@ -8,7 +8,7 @@
 
 use bergamot_base::{Epoch, Name, Seed, Version};
 use bergamot_net::{Body, Fault, json, listen, read_body, text};
-use bergamot_upstream::protocol::{self, Found, Receipt, Search, Write};
+use bergamot_upstream::protocol::{self, Receipt, Search, SearchReply, Write};
 use hyper::body::Incoming;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::server::conn::http1;
@@ -331,7 +331,7 @@
         let version = if wrong { search.version + 1 } else { search.version };
         let (documents, hits) = corpus.search(&search.query, version);
         let Search { shard, epoch, .. } = *search;
-        let found = Found { shard, epoch, version, documents, hits };
+        let found = SearchReply { shard, epoch, version, documents, hits };
         Some(json(StatusCode::OK, serde_json::to_vec(&found).ok()?))
     }
 
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -5,7 +5,7 @@
 //! request's identifier to the searcher and drains the response. This keeps the
 //! connection usable, and a late response is never taken for that of another request.
 //! A write is sent at most once: if any byte of it may have been sent and the result is
-//! uncertain, the outcome is [`Effect::Unknown`].
+//! uncertain, the outcome is [`WriteResult::Unknown`].
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,7 +23,7 @@
 
 use crate::health::Health;
 use crate::pool::{Lease, Pool};
-use crate::protocol::{self, Found, Receipt, Search, Write};
+use crate::protocol::{self, Receipt, Search, SearchReply, Write};
 use crate::slots::{Admission, Slots};
 
 /// Maximum size of a response body, in bytes.
@@ -35,7 +35,7 @@
 /// An error in communication with a searcher.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} {peer}: {cause} ({reason})"))]
-pub struct Fault {
+pub struct SearcherError {
     /// The operation that failed.
     pub step: Step,
     /// The searcher.
@@ -45,12 +45,18 @@
     /// The reason to report in the query's coverage.
     pub reason: Reason,
     /// Whether the connection ended after the request was sent and before its response.
-    pub cut: bool,
+    pub connection_lost: bool,
 }
 
-impl Fault {
+impl SearcherError {
     pub(crate) fn new(step: Step, peer: Peer, cause: &str) -> Self {
-        Self { step, peer, cause: cause.to_owned(), reason: Reason::Unreachable, cut: false }
+        Self {
+            step,
+            peer,
+            cause: cause.to_owned(),
+            reason: Reason::Unreachable,
+            connection_lost: false,
+        }
     }
 
     fn with_reason(self, reason: Reason) -> Self {
@@ -60,7 +66,7 @@
 
 /// Metadata of one request attempt.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct RequestContext {
     /// Identifier of this attempt, unique across all instances.
     pub id: Name,
     /// Time after which the response is no longer useful.
@@ -71,7 +77,7 @@
 
 /// The result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum WriteResult {
     /// The searcher confirmed the write with this receipt.
     Done(Name),
     /// The write was not sent, or the searcher reported that it did not run.
@@ -129,10 +135,10 @@
     /// Runs a sub-query. `may_send` is called immediately before the request is sent.
     pub async fn search(
         self: &Arc<Self>,
-        call: &Call,
+        call: &RequestContext,
         search: &Search,
         may_send: impl Fn() -> bool,
-    ) -> Result<Found, Fault> {
+    ) -> Result<SearchReply, SearcherError> {
         let mut slot = self.acquire_slot(call).await?;
         let lease = tokio::select! {
             biased;
@@ -140,7 +146,7 @@
             lease = self.pool.lease(call.deadline) => lease.inspect_err(|_| self.record_failure())?,
         };
         if !self.may_send_now(call, &may_send) {
-            lease.give_back().await;
+            lease.release().await;
             return Err(self
                 .fault("send", "sending is no longer allowed")
                 .with_reason(Reason::Deadline));
@@ -164,26 +170,26 @@
     /// Sends a write at most once.
     pub async fn write(
         self: &Arc<Self>,
-        call: &Call,
+        call: &RequestContext,
         key: &str,
         write: &Write,
         may_send: impl Fn() -> bool,
-    ) -> Effect {
+    ) -> WriteResult {
         let slot = match self.acquire_slot(call).await {
             Ok(slot) => slot,
-            Err(fault) => return Effect::NotRun(fault.to_string()),
+            Err(fault) => return WriteResult::NotRun(fault.to_string()),
         };
         let mut lease = match self.pool.lease(call.deadline).await {
             Ok(lease) => lease,
-            Err(fault) => return Effect::NotRun(fault.to_string()),
+            Err(fault) => return WriteResult::NotRun(fault.to_string()),
         };
         let mut request = self.request(Method::POST, protocol::WRITE, call, write);
         if let Ok(value) = key.parse() {
             request.headers_mut().insert(protocol::KEY, value);
         }
         if !self.may_send_now(call, &may_send) {
-            lease.give_back().await;
-            return Effect::NotRun(
+            lease.release().await;
+            return WriteResult::NotRun(
                 "no longer allowed at the last moment before sending".to_owned(),
             );
         }
@@ -191,14 +197,16 @@
         let result = tokio::time::timeout_at(call.deadline.instant().into(), sent).await;
         let effect = match result {
             Err(_elapsed) => {
-                Effect::Unknown("the deadline passed after the write was sent".to_owned())
-            }
-            Ok(Err(error)) if error.message().is_some() => {
-                Effect::NotRun(format!("the connection closed before sending: {}", error.error()))
-            }
-            Ok(Err(error)) => {
-                Effect::Unknown(format!("the connection failed after sending: {}", error.error()))
+                WriteResult::Unknown("the deadline passed after the write was sent".to_owned())
             }
+            Ok(Err(error)) if error.message().is_some() => WriteResult::NotRun(format!(
+                "the connection closed before sending: {}",
+                error.error()
+            )),
+            Ok(Err(error)) => WriteResult::Unknown(format!(
+                "the connection failed after sending: {}",
+                error.error()
+            )),
             Ok(Ok(response)) => self.write_effect(lease, response, call).await,
         };
         drop(slot);
@@ -206,14 +214,15 @@
     }
 
     /// Requests the searcher's status to update its run, its versions and whether it is leaving.
-    pub async fn status(self: &Arc<Self>, deadline: Deadline) -> Result<(), Fault> {
-        let call = Call { id: Name::from("status"), deadline, cancel: CancellationToken::new() };
+    pub async fn status(self: &Arc<Self>, deadline: Deadline) -> Result<(), SearcherError> {
+        let call =
+            RequestContext { id: Name::from("status"), deadline, cancel: CancellationToken::new() };
         let lease = self.pool.lease(deadline).await.inspect_err(|_| self.record_failure())?;
         let request = self.request(Method::GET, protocol::STATUS, &call, &());
         self.exchange(lease, request, &call).await.map(|_reply| ())
     }
 
-    async fn acquire_slot(self: &Arc<Self>, call: &Call) -> Result<Slot, Fault> {
+    async fn acquire_slot(self: &Arc<Self>, call: &RequestContext) -> Result<Slot, SearcherError> {
         let (sender, receiver) = oneshot::channel();
         let admission = self.slots().acquire(Instant::now(), call.deadline, sender);
         match admission {
@@ -236,7 +245,7 @@
     }
 
     /// Checks immediately before sending whether the request may still be sent.
-    fn may_send_now(&self, call: &Call, may_send: &impl Fn() -> bool) -> bool {
+    fn may_send_now(&self, call: &RequestContext, may_send: &impl Fn() -> bool) -> bool {
         let leaving = self.health().is_leaving();
         !leaving
             && !call.deadline.passed(Instant::now())
@@ -248,7 +257,7 @@
         &self,
         method: Method,
         path: &str,
-        call: &Call,
+        call: &RequestContext,
         content: &T,
     ) -> Request<Full<Bytes>> {
         let body = serde_json::to_vec(content).expect("protocol types always serialize");
@@ -269,8 +278,8 @@
         self: &Arc<Self>,
         mut lease: Lease,
         request: Request<Full<Bytes>>,
-        call: &Call,
-    ) -> Result<Response<Bytes>, Fault> {
+        call: &RequestContext,
+    ) -> Result<Response<Bytes>, SearcherError> {
         let sent = lease.sender().send_request(request);
         let mut reply = Box::pin(async move {
             let response = sent.await.map_err(|error| self.connection_fault("send", &error))?;
@@ -291,15 +300,15 @@
         };
         drop(reply);
         if answer.is_ok() {
-            tokio::spawn(lease.give_back());
+            tokio::spawn(lease.release());
         }
         answer
     }
 
     async fn drain(
         &self,
-        reply: impl Future<Output = Result<Response<Bytes>, Fault>>,
-    ) -> Result<Response<Bytes>, Fault> {
+        reply: impl Future<Output = Result<Response<Bytes>, SearcherError>>,
+    ) -> Result<Response<Bytes>, SearcherError> {
         tokio::time::timeout(DRAIN_TIMEOUT, reply).await.unwrap_or_else(|_elapsed| {
             Err(self
                 .fault("read reply", "no reply to the cancelled request in time")
@@ -308,7 +317,7 @@
     }
 
     /// Sends the searcher a cancellation of the request, if a connection is idle.
-    fn cancel(self: &Arc<Self>, call: &Call) {
+    fn cancel(self: &Arc<Self>, call: &RequestContext) {
         let Some(mut lease) = self.pool.lease_idle() else {
             return;
         };
@@ -318,7 +327,7 @@
             if let Ok(response) = lease.sender().send_request(request).await
                 && response.into_body().collect().await.is_ok()
             {
-                lease.give_back().await;
+                lease.release().await;
             }
         }));
     }
@@ -326,7 +335,7 @@
     async fn read_body(
         &self,
         response: Response<hyper::body::Incoming>,
-    ) -> Result<Response<Bytes>, Fault> {
+    ) -> Result<Response<Bytes>, SearcherError> {
         let (parts, body) = response.into_parts();
         let collected = Limited::new(body, MAX_RESPONSE_LEN).collect().await.map_err(|error| {
             self.record_failure();
@@ -348,7 +357,11 @@
         }
     }
 
-    fn decode_search(&self, reply: &Response<Bytes>, took: Duration) -> Result<Found, Fault> {
+    fn decode_search(
+        &self,
+        reply: &Response<Bytes>,
+        took: Duration,
+    ) -> Result<SearchReply, SearcherError> {
         match reply.status() {
             StatusCode::OK => {
                 let found = serde_json::from_slice(reply.body()).map_err(|error| {
@@ -384,45 +397,48 @@
         &self,
         lease: Lease,
         response: Response<hyper::body::Incoming>,
-        call: &Call,
-    ) -> Effect {
+        call: &RequestContext,
+    ) -> WriteResult {
         self.record_headers(&response);
         let not_run = response.headers().contains_key(protocol::NOT_RUN);
         let status = response.status();
         let body =
             tokio::time::timeout_at(call.deadline.instant().into(), self.read_body(response));
         let Ok(Ok(reply)) = body.await else {
-            return Effect::Unknown("the reply to the write was cut".to_owned());
+            return WriteResult::Unknown("the reply to the write was cut".to_owned());
         };
-        tokio::spawn(lease.give_back());
+        tokio::spawn(lease.release());
         if status == StatusCode::OK {
             return match serde_json::from_slice::<Receipt>(reply.body()) {
-                Ok(receipt) => Effect::Done(receipt.receipt),
-                Err(error) => Effect::Unknown(format!("the receipt can't be read: {error}")),
+                Ok(receipt) => WriteResult::Done(receipt.receipt),
+                Err(error) => WriteResult::Unknown(format!("the receipt can't be read: {error}")),
             };
         }
         if not_run {
-            return Effect::NotRun(format!("the searcher refused the write: {status}"));
+            return WriteResult::NotRun(format!("the searcher refused the write: {status}"));
         }
-        Effect::Unknown(format!("the searcher answered {status}"))
+        WriteResult::Unknown(format!("the searcher answered {status}"))
     }
 
-    fn connection_fault(&self, step: &'static str, error: &hyper::Error) -> Fault {
+    fn connection_fault(&self, step: &'static str, error: &hyper::Error) -> SearcherError {
         self.record_failure();
         // A searcher that is at its connection limit accepts a connection and closes it
         // immediately, before any response.
         if error.is_incomplete_message() || error.is_canceled() || error.is_closed() {
             self.pool.record_refusal();
         }
-        Fault { cut: !error.is_canceled(), ..self.fault(step, &error.to_string()) }
+        SearcherError {
+            connection_lost: !error.is_canceled(),
+            ..self.fault(step, &error.to_string())
+        }
     }
 
     fn record_failure(&self) {
         self.health().record_failure(Instant::now());
     }
 
-    fn fault(&self, step: &'static str, cause: &str) -> Fault {
-        Fault::new(Step(step), Peer::Address(self.address), cause)
+    fn fault(&self, step: &'static str, cause: &str) -> SearcherError {
+        SearcherError::new(Step(step), Peer::Address(self.address), cause)
     }
 }
 
@@ -457,7 +473,7 @@
 }
 
 impl QueuedRequest<'_> {
-    async fn slot(mut self) -> Result<Slot, Fault> {
+    async fn slot(mut self) -> Result<Slot, SearcherError> {
         let receiver = self.receiver.as_mut().expect("a waiter holds its receiver");
         let granted = receiver.await;
         self.receiver = None;
--- a/crates/upstream/src/client_set.rs
+++ b/crates/upstream/src/client_set.rs
@@ -38,18 +38,23 @@
 
 /// The clients of all searchers that a gather connects to.
 #[derive(Clone, Debug, Default)]
-pub struct Fleet {
+pub struct ClientSet {
     clients: BTreeMap<SocketAddr, Arc<Client>>,
     index: HashMap<Searcher, Arc<Client>>,
 }
 
-impl Fleet {
+impl ClientSet {
     /// Returns the clients of the searchers in `held`, as configured by `document`.
     ///
     /// Existing clients are reused. Clients that are no longer needed close their connections
     /// as these become idle.
     #[must_use]
-    pub fn next(&self, document: &Document, settings: &Settings, held: &[Searcher]) -> Self {
+    pub fn reconfigured(
+        &self,
+        document: &Document,
+        settings: &Settings,
+        held: &[Searcher],
+    ) -> Self {
         let mut next = Self::default();
         for searcher in held {
             let row = &document.searchers[*searcher];
@@ -82,7 +87,7 @@
     }
 
     /// Returns the client of the searcher at an address, if there is one.
-    pub fn at(&self, address: SocketAddr) -> Option<&Arc<Client>> {
+    pub fn client_at(&self, address: SocketAddr) -> Option<&Arc<Client>> {
         self.clients.get(&address)
     }
 
@@ -92,7 +97,7 @@
     }
 
     /// Returns the totals over all connection pools.
-    pub fn count(&self) -> PoolTotals {
+    pub fn totals(&self) -> PoolTotals {
         let add = |mut sum: PoolTotals, client: &Arc<Client>| {
             let usage = client.pool().usage();
             sum.searchers += 1;
--- a/crates/upstream/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -79,7 +79,7 @@
     }
 
     /// Ejects the searcher for at least `pause`, for example after a failed connection attempt.
-    pub fn rest(&mut self, now: Instant, pause: Duration) {
+    pub fn eject_for(&mut self, now: Instant, pause: Duration) {
         let until = now + pause;
         self.ejected_until = Some(self.ejected_until.map_or(until, |known| known.max(until)));
     }
@@ -103,7 +103,7 @@
     /// whether this was not known yet.
     ///
     /// A notice without a run refers to the run that was seen last.
-    pub fn told_leaving(&mut self, run: Option<&Name>) -> bool {
+    pub fn record_leaving_notice(&mut self, run: Option<&Name>) -> bool {
         let applies = run.is_none() || run == self.run.as_ref() || self.run.is_none();
         let is_new = applies && !self.leaving;
         self.leaving |= applies;
--- a/crates/upstream/src/hedged_request.rs
+++ b/crates/upstream/src/hedged_request.rs
@@ -15,18 +15,18 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Send an attempt to this searcher.
     Send(Searcher),
     /// Wait for an attempt that is still running.
     Wait,
     /// Give up: the shard is missing for this reason.
-    Miss(Reason),
+    GiveUp(Reason),
 }
 
 /// The state of a hedged request to the replicas of one shard.
 #[derive(Debug)]
-pub struct Race {
+pub struct HedgedRequest {
     untried: VecDeque<Searcher>,
     running: Vec<Searcher>,
     /// The first replica, until it has been tried a second time.
@@ -35,7 +35,7 @@
     ended: bool,
 }
 
-impl Race {
+impl HedgedRequest {
     /// Creates a request to the given replicas, which are tried in this order.
     pub fn new(order: impl IntoIterator<Item = Searcher>) -> Self {
         let untried: VecDeque<Searcher> = order.into_iter().collect();
@@ -44,8 +44,8 @@
     }
 
     /// Starts with the first replica, or gives up if there is none.
-    pub fn start(&mut self) -> Next {
-        self.send().map_or_else(|| self.end(), Next::Send)
+    pub fn start(&mut self) -> NextAction {
+        self.send().map_or_else(|| self.end(), NextAction::Send)
     }
 
     /// Returns the replica to hedge with if all running attempts are slow, or `None` if there
@@ -66,27 +66,27 @@
     }
 
     /// Records a failed attempt and returns what to do next.
-    pub fn fail(&mut self, searcher: Searcher, reason: Reason, budget: &mut Budget) -> Next {
+    pub fn fail(&mut self, searcher: Searcher, reason: Reason, budget: &mut Budget) -> NextAction {
         self.running.retain(|running| *running != searcher);
         self.last_failure = reason;
         if self.ended {
-            return Next::Miss(reason);
+            return NextAction::GiveUp(reason);
         }
         if !self.running.is_empty() {
-            return Next::Wait;
+            return NextAction::Wait;
         }
         if !self.untried.is_empty()
             && budget.spend()
             && let Some(next) = self.send()
         {
-            return Next::Send(next);
+            return NextAction::Send(next);
         }
         self.end()
     }
 
     /// Ends the request with the result of `winner` and returns the searchers whose attempts
     /// must be cancelled.
-    pub fn win(&mut self, winner: Searcher) -> Vec<Searcher> {
+    pub fn succeed(&mut self, winner: Searcher) -> Vec<Searcher> {
         self.ended = true;
         self.running.retain(|running| *running != winner);
         std::mem::take(&mut self.running)
@@ -103,8 +103,8 @@
         Some(next)
     }
 
-    fn end(&mut self) -> Next {
+    fn end(&mut self) -> NextAction {
         self.ended = true;
-        Next::Miss(self.last_failure)
+        NextAction::GiveUp(self.last_failure)
     }
 }
--- a/crates/upstream/src/latency.rs
+++ b/crates/upstream/src/latency.rs
@@ -20,7 +20,7 @@
 
 /// Estimates a latency percentile over a sliding window of samples.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct LatencyEstimator {
     percent: usize,
     samples: Vec<Duration>,
     next: usize,
@@ -29,13 +29,13 @@
     scratch: Vec<Duration>,
 }
 
-impl Default for Pace {
+impl Default for LatencyEstimator {
     fn default() -> Self {
         Self::new(DEFAULT_PERCENT)
     }
 }
 
-impl Pace {
+impl LatencyEstimator {
     /// Creates an estimator of the given percentile, without samples.
     pub fn new(percent: usize) -> Self {
         Self {
@@ -64,7 +64,7 @@
     }
 
     /// Returns the current estimate, or `None` if there are too few samples.
-    pub fn slow(&self) -> Option<Duration> {
+    pub fn estimate(&self) -> Option<Duration> {
         self.estimate
     }
 
@@ -77,7 +77,7 @@
     }
 }
 
-impl fmt::Display for Pace {
+impl fmt::Display for LatencyEstimator {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.estimate {
             Some(latency) => write!(f, "p{} {:.1} ms", self.percent, latency.as_secs_f64() * 1e3),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -3,7 +3,7 @@
 //! A searcher accepts few connections and executes even fewer requests at a time; each
 //! concurrent request takes one slot. A gather uses its share of the connections
 //! ([`Pool`]), queues sub-queries until a slot is free ([`Slots`]), orders the replicas
-//! of a shard ([`rank`]), limits hedges and retries by budgets ([`Race`],
+//! of a shard ([`rank()`]), limits hedges and retries by budgets ([`HedgedRequest`],
 //! [`bergamot_base::Budget`]), and sends no new requests to a searcher that is shutting
 //! down ([`Health`]). Only [`Client`] and [`Pool`] perform I/O; the other types are
 //! deterministic and take the current time as `now`. See
@@ -19,11 +19,11 @@
 mod rank;
 mod slots;
 
-pub use client::{Call, Client, Effect, Fault};
-pub use client_set::{Fleet, PoolTotals};
+pub use client::{Client, RequestContext, SearcherError, WriteResult};
+pub use client_set::{ClientSet, PoolTotals};
 pub use health::Health;
-pub use hedged_request::{Next, Race};
-pub use latency::Pace;
+pub use hedged_request::{HedgedRequest, NextAction};
+pub use latency::LatencyEstimator;
 pub use pool::{Lease, Pool, Usage};
 pub use rank::{Candidate, rank};
 pub use slots::{Admission, Slots};
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-use crate::client::Fault;
+use crate::client::SearcherError;
 
 /// How long the share stays reduced after a refused connection.
 const REDUCED_FOR: Duration = Duration::from_secs(2);
@@ -136,7 +136,7 @@
     }
 
     /// Opens one connection in advance, if the share allows it, and returns whether it did.
-    pub async fn warm(self: &Arc<Self>) -> Result<bool, Fault> {
+    pub async fn warm(self: &Arc<Self>) -> Result<bool, SearcherError> {
         if !self.reserve() {
             return Ok(false);
         }
@@ -151,7 +151,7 @@
     /// This opens a new connection, because the end of an existing one doesn't show that: it
     /// may have been reset or interrupted by the network. If the searcher accepts the
     /// connection, it is kept in the pool if the share allows it.
-    pub async fn is_gone(self: &Arc<Self>) -> bool {
+    pub async fn searcher_exited(self: &Arc<Self>) -> bool {
         let mut reservation = self.reserve().then(|| Reservation { pool: self, used: false });
         let stream = match bergamot_net::dial(self.local, self.remote, self.dial_timeout).await {
             Ok(stream) => stream,
@@ -168,7 +168,7 @@
 
     /// Leases an idle connection, or opens one if the share allows it. Waits for a connection
     /// until the deadline.
-    pub async fn lease(self: &Arc<Self>, deadline: Deadline) -> Result<Lease, Fault> {
+    pub async fn lease(self: &Arc<Self>, deadline: Deadline) -> Result<Lease, SearcherError> {
         let result = tokio::time::timeout_at(deadline.instant().into(), self.acquire()).await;
         result.unwrap_or_else(|_elapsed| Err(self.fault("wait for a connection", "deadline")))
     }
@@ -178,7 +178,7 @@
         self.pop_idle().map(|connection| self.new_lease(connection))
     }
 
-    async fn acquire(self: &Arc<Self>) -> Result<Lease, Fault> {
+    async fn acquire(self: &Arc<Self>) -> Result<Lease, SearcherError> {
         loop {
             let available = self.available.notified();
             if let Some(connection) = self.pop_idle() {
@@ -224,7 +224,7 @@
 
     /// Opens a connection for a reservation that the caller has made. The reservation is
     /// released on failure or cancellation.
-    async fn dial(self: &Arc<Self>) -> Result<Connection, Fault> {
+    async fn dial(self: &Arc<Self>) -> Result<Connection, SearcherError> {
         let mut reservation = Reservation { pool: self, used: false };
         let result = tokio::time::timeout(self.dial_timeout, self.connect()).await;
         let connection = result
@@ -234,7 +234,7 @@
         Ok(connection)
     }
 
-    async fn connect(&self) -> Result<Connection, Fault> {
+    async fn connect(&self) -> Result<Connection, SearcherError> {
         let started = Instant::now();
         let stream = bergamot_net::dial(self.local, self.remote, self.dial_timeout)
             .await
@@ -244,7 +244,7 @@
     }
 
     /// Performs the HTTP/1 handshake on a new connection.
-    async fn handshake(&self, stream: TcpStream) -> Result<Connection, Fault> {
+    async fn handshake(&self, stream: TcpStream) -> Result<Connection, SearcherError> {
         let fault = |error: &dyn fmt::Display| self.fault("handshake", &error.to_string());
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|error| fault(&error))?;
@@ -294,8 +294,8 @@
         self.available.notify_waiters();
     }
 
-    fn fault(&self, step: &'static str, cause: &str) -> Fault {
-        Fault::new(Step(step), Peer::Address(self.remote), cause)
+    fn fault(&self, step: &'static str, cause: &str) -> SearcherError {
+        SearcherError::new(Step(step), Peer::Address(self.remote), cause)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -319,7 +319,7 @@
 
 /// A leased connection.
 ///
-/// It returns to the pool only through [`Lease::give_back`]. Dropping the lease closes the
+/// It returns to the pool only through [`Lease::release`]. Dropping the lease closes the
 /// connection, because a response may still be in transit on it.
 #[derive(Debug)]
 pub struct Lease {
@@ -338,7 +338,7 @@
     }
 
     /// Returns the connection to the pool as soon as it is ready for another request.
-    pub async fn give_back(mut self) {
+    pub async fn release(mut self) {
         let Some(mut connection) = self.connection.take() else {
             return;
         };
--- a/crates/upstream/src/protocol.rs
+++ b/crates/upstream/src/protocol.rs
@@ -50,7 +50,7 @@
 
 /// The response to a sub-query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Found {
+pub struct SearchReply {
     /// Index of the shard in the partition map.
     pub shard: usize,
     /// Epoch of the partition map.
--- a/crates/upstream/src/slots.rs
+++ b/crates/upstream/src/slots.rs
@@ -31,7 +31,7 @@
 /// The slots of one searcher that this process may use, and the queue for them.
 #[derive(Debug)]
 pub struct Slots<T> {
-    width: usize,
+    capacity: usize,
     max_queued: usize,
     in_use: usize,
     /// Orders waiters with equal deadlines by arrival.
@@ -44,17 +44,17 @@
     /// Creates a queue for the given number of slots with at most `max_queued` waiters.
     pub fn new(slots: usize, max_queued: usize) -> Self {
         let queue = BTreeMap::new();
-        Self { width: slots, max_queued, in_use: 0, sequence: 0, queue, mean: INITIAL_MEAN }
+        Self { capacity: slots, max_queued, in_use: 0, sequence: 0, queue, mean: INITIAL_MEAN }
     }
 
     /// Changes the number of slots. Requests that were already admitted keep theirs.
     pub fn resize(&mut self, slots: usize) {
-        self.width = slots;
+        self.capacity = slots;
     }
 
     /// Returns the number of slots.
-    pub fn width(&self) -> usize {
-        self.width
+    pub fn capacity(&self) -> usize {
+        self.capacity
     }
 
     /// Returns the number of admitted and queued requests.
@@ -64,7 +64,7 @@
 
     /// Admits, queues or rejects a request.
     pub fn acquire(&mut self, now: Instant, deadline: Deadline, waiter: T) -> Admission {
-        if self.in_use < self.width {
+        if self.in_use < self.capacity {
             self.in_use += 1;
             return Admission::Admitted;
         }
@@ -87,7 +87,7 @@
             self.mean = (self.mean * (SMOOTHING - 1) + took) / SMOOTHING;
         }
         self.in_use = self.in_use.saturating_sub(1);
-        if self.in_use >= self.width {
+        if self.in_use >= self.capacity {
             return None;
         }
         while let Some(((deadline, _), waiter)) = self.queue.pop_first() {
@@ -100,7 +100,7 @@
     }
 
     fn expected_wait(&self, ahead: usize) -> Duration {
-        self.mean * (ahead + 1) as u32 / self.width.max(1) as u32
+        self.mean * (ahead + 1) as u32 / self.capacity.max(1) as u32
     }
 }
 
@@ -111,7 +111,7 @@
             f,
             "slots {}/{} queued {} mean {mean:.1} ms",
             self.in_use,
-            self.width,
+            self.capacity,
             self.queue.len()
         )
     }
--- a/crates/upstream/tests/filetests.rs
+++ b/crates/upstream/tests/filetests.rs
@@ -7,7 +7,7 @@
 use bergamot_base::{Budget, Deadline, Entity, Name, Searcher};
 use bergamot_filetest::{check, trace};
 use bergamot_query::Reason;
-use bergamot_upstream::{Admission, Candidate, Health, Next, Race, Slots, rank};
+use bergamot_upstream::{Admission, Candidate, Health, HedgedRequest, NextAction, Slots, rank};
 
 fn slots(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| {
@@ -43,22 +43,26 @@
 
 fn hedged_request(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| {
-        let mut request = Race::new([]);
+        let mut request = HedgedRequest::new([]);
         let mut budget = Budget::new(0.5, 1.0);
         trace(input, |_now, command| hedged_request_step(&mut request, &mut budget, command))
     })
 }
 
-fn hedged_request_step(request: &mut Race, budget: &mut Budget, command: &[&str]) -> String {
+fn hedged_request_step(
+    request: &mut HedgedRequest,
+    budget: &mut Budget,
+    command: &[&str],
+) -> String {
     let searcher = |word: &str| Searcher::from_index(number(word) as usize);
     match command {
         ["replicas", replicas @ ..] => {
-            *request = Race::new(replicas.iter().map(|word| searcher(word)));
+            *request = HedgedRequest::new(replicas.iter().map(|word| searcher(word)));
             next(request.start())
         }
         ["hedge"] => request.hedge(budget).map_or("none".to_owned(), |next| format!("send {next}")),
         ["fail", word] => next(request.fail(searcher(word), Reason::Busy, budget)),
-        ["win", word] => format!("cancel {:?}", request.win(searcher(word))),
+        ["win", word] => format!("cancel {:?}", request.succeed(searcher(word))),
         ["earn"] => {
             budget.earn();
             budget.to_string()
@@ -67,11 +71,11 @@
     }
 }
 
-fn next(next: Next) -> String {
+fn next(next: NextAction) -> String {
     match next {
-        Next::Send(searcher) => format!("send {searcher}"),
-        Next::Wait => "wait".to_owned(),
-        Next::Miss(reason) => format!("miss {reason}"),
+        NextAction::Send(searcher) => format!("send {searcher}"),
+        NextAction::Wait => "wait".to_owned(),
+        NextAction::GiveUp(reason) => format!("miss {reason}"),
     }
 }
 
@@ -93,9 +97,9 @@
             ["failure"] => health.record_failure(now),
             ["run", run] => health.record_run(now, &Name::from(*run), false),
             ["run_leaving", run] => health.record_run(now, &Name::from(*run), true),
-            ["notice_leaving"] => return format!("new {}", health.told_leaving(None)),
+            ["notice_leaving"] => return format!("new {}", health.record_leaving_notice(None)),
             ["notice_leaving", run] => {
-                return format!("new {}", health.told_leaving(Some(&Name::from(*run))));
+                return format!("new {}", health.record_leaving_notice(Some(&Name::from(*run))));
             }
             ["versions", versions] => {
                 health.set_versions(versions.split(',').filter_map(|version| version.parse().ok()));
--- a/crates/write/src/owner.rs
+++ b/crates/write/src/owner.rs
@@ -117,7 +117,7 @@
     }
 
     /// Returns the outcome of a key whose owner can't be reached or, if `gone`, no longer exists.
-    pub fn lost(gone: bool) -> Outcome {
+    pub fn unavailable_outcome(gone: bool) -> Outcome {
         let reason = if gone {
             "the entry that issued the key is gone"
         } else {
