--- a/crates/gather/src/tail.rs
+++ b/crates/gather/src/tail.rs
@@ -6,7 +6,7 @@
 
 use bergamot_base::{Budget, Name, Service};
 use bergamot_config::Document;
-use bergamot_upstream::LatencyEstimator;
+use bergamot_upstream::LatencyPercentile;
 
 /// Hedges that may be made before any work has earned them.
 const HEDGE_RESERVE: f64 = 10.0;
@@ -18,7 +18,7 @@
 /// The latency and the budgets of one service.
 #[derive(Debug)]
 pub(crate) struct Tail {
-    pub(crate) pace: LatencyEstimator,
+    pub(crate) pace: LatencyPercentile,
     pub(crate) hedges: Budget,
     pub(crate) retries: Budget,
 }
@@ -41,7 +41,7 @@
         let mut tails = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let tail = tails.entry(name).or_insert_with(|| {
             Arc::new(Mutex::new(Tail {
-                pace: LatencyEstimator::default(),
+                pace: LatencyPercentile::default(),
                 hedges: Budget::new(fraction, HEDGE_RESERVE),
                 retries: Budget::new(RETRY_FRACTION, RETRY_RESERVE),
             }))
--- a/crates/model/src/member.rs
+++ b/crates/model/src/member.rs
@@ -8,7 +8,7 @@
     Allowance, Candidate, Distance, Need, Outlook, Patience, Rhythm, Terms, admit, rank,
 };
 use bergamot_policy::Policy;
-use bergamot_upstream::LatencyEstimator;
+use bergamot_upstream::LatencyPercentile;
 use rand::RngExt;
 use rand::rngs::StdRng;
 
@@ -27,7 +27,7 @@
     slots: usize,
     outlooks: Vec<Outlook>,
     allowances: Vec<Allowance>,
-    paces: Vec<LatencyEstimator>,
+    paces: Vec<LatencyPercentile>,
     rng: StdRng,
 }
 
@@ -53,7 +53,7 @@
             slots: load.slots,
             outlooks: (0..shards.searchers()).map(outlook).collect(),
             allowances: vec![Allowance::new(now); load.shards],
-            paces: vec![LatencyEstimator::new(policy.hedge.percentile); load.streams.len()],
+            paces: vec![LatencyPercentile::new(policy.hedge.percentile); load.streams.len()],
             policy,
             rng,
         }
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -7,7 +7,7 @@
 use bergamot_declaration::{Route, Target};
 use bergamot_dispatch::{Obstacle, Patience, Tally, comeback};
 use bergamot_quarantine::Standing;
-use bergamot_upstream::LatencyEstimator;
+use bergamot_upstream::LatencyPercentile;
 use hyper::header::HeaderValue;
 use rand::RngExt;
 
@@ -104,7 +104,7 @@
     }
 
     async fn route(self: &Arc<Self>, route: &Route, request: Request) -> Reply {
-        let usual = self.lock().paces.get(&route.name).and_then(LatencyEstimator::estimate);
+        let usual = self.lock().paces.get(&route.name).and_then(LatencyPercentile::estimate);
         let away = self.away(route, &request);
         let patience = Patience::new(route, request.deadline, usual, away, &self.settings.policy);
         let tally = match &route.target {
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -10,7 +10,7 @@
 use bergamot_base::{Name, hash_bytes};
 use bergamot_dispatch::{Crossings, Distance, Need, rank, sufficient};
 use bergamot_registry::{Incarnation, Upstream};
-use bergamot_upstream::LatencyEstimator;
+use bergamot_upstream::LatencyPercentile;
 use bergamot_wire::Quiet;
 use rand::RngExt;
 
@@ -141,7 +141,7 @@
         let usual = self.settings.policy.hedge.percentile;
         let mut state = self.lock();
         let pace =
-            state.paces.entry(Name::clone(route)).or_insert_with(|| LatencyEstimator::new(usual));
+            state.paces.entry(Name::clone(route)).or_insert_with(|| LatencyPercentile::new(usual));
         pace.record(took);
     }
 
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -12,7 +12,7 @@
 use bergamot_logger::Sampler;
 use bergamot_policy::Policy;
 use bergamot_registry::{Incarnation, Registry};
-use bergamot_upstream::LatencyEstimator;
+use bergamot_upstream::LatencyPercentile;
 
 use crate::coverage::Latest;
 use crate::link::Link;
@@ -37,7 +37,7 @@
     pub(crate) links: HashMap<Incarnation, Arc<Link>>,
     pub(crate) splits: HashMap<Name, Split>,
     pub(crate) allowances: HashMap<Name, Allowance>,
-    pub(crate) paces: HashMap<Name, LatencyEstimator>,
+    pub(crate) paces: HashMap<Name, LatencyPercentile>,
     pub(crate) arrivals: HashMap<Name, Arrivals>,
     pub(crate) sampler: Sampler,
     pub(crate) members: usize,
--- a/crates/upstream/src/latency.rs
+++ b/crates/upstream/src/latency.rs
@@ -20,7 +20,7 @@
 
 /// Estimates a latency percentile over a sliding window of samples.
 #[derive(Clone, Debug)]
-pub struct LatencyEstimator {
+pub struct LatencyPercentile {
     percent: usize,
     samples: Vec<Duration>,
     next: usize,
@@ -29,13 +29,13 @@
     scratch: Vec<Duration>,
 }
 
-impl Default for LatencyEstimator {
+impl Default for LatencyPercentile {
     fn default() -> Self {
         Self::new(DEFAULT_PERCENT)
     }
 }
 
-impl LatencyEstimator {
+impl LatencyPercentile {
     /// Creates an estimator of the given percentile, without samples.
     pub fn new(percent: usize) -> Self {
         Self {
@@ -77,7 +77,7 @@
     }
 }
 
-impl fmt::Display for LatencyEstimator {
+impl fmt::Display for LatencyPercentile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.estimate {
             Some(latency) => write!(f, "p{} {:.1} ms", self.percent, latency.as_secs_f64() * 1e3),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -23,7 +23,7 @@
 pub use client_set::{ClientSet, PoolTotals};
 pub use health::Health;
 pub use hedged_request::{HedgedRequest, NextAction};
-pub use latency::LatencyEstimator;
+pub use latency::LatencyPercentile;
 pub use pool::{Lease, Pool, Usage};
 pub use rank::{Candidate, rank};
 pub use slots::{Admission, Slots};
