--- a/crates/model/src/member.rs
+++ b/crates/model/src/member.rs
@@ -9,7 +9,7 @@
     RetryBudgetLimits, StallPeriod, admit, rank,
 };
 use bergamot_policy::Policy;
-use bergamot_upstream::Pace;
+use bergamot_upstream::LatencyPercentile;
 use rand::RngExt;
 use rand::rngs::StdRng;
 
@@ -29,7 +29,7 @@
     slots: usize,
     outlooks: Vec<LatencyEstimator>,
     allowances: Vec<RetryBudget>,
-    paces: Vec<Pace>,
+    paces: Vec<LatencyPercentile>,
     rng: StdRng,
 }
 
@@ -55,7 +55,7 @@
             slots: load.slots,
             outlooks: (0..shards.searchers()).map(outlook).collect(),
             allowances: vec![RetryBudget::new(now); load.shards],
-            paces: vec![Pace::new(policy.hedge.percentile); load.streams.len()],
+            paces: vec![LatencyPercentile::new(policy.hedge.percentile); load.streams.len()],
             policy,
             rng,
         }
@@ -63,7 +63,7 @@
 
     /// Sets the moments of a request.
     pub(crate) fn patience(&self, route: &Route, stream: usize) -> RequestTimeouts {
-        let usual = self.paces[stream].slow();
+        let usual = self.paces[stream].estimate();
         RequestTimeouts::new(route, Some(route.timeout), usual, None, &self.policy)
     }
 
