--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -19,7 +19,7 @@
 use bergamot_members::{Endpoint, Record, Role, State, ranked};
 use bergamot_net::{Body, Fault, listen, serve, text};
 use bergamot_peers::{Caller, Peers, Place, Seat, choose, serving};
-use bergamot_relay::{Dialect, Helper, Relay};
+use bergamot_relay::{DelegateMember, Dialect, Relay};
 use bergamot_wire::Channels;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Response, StatusCode, Uri};
@@ -322,15 +322,15 @@
         let members = if serves { chosen.len() } else { self.peers.size() };
         *self.serving.lock().unwrap_or_else(PoisonError::into_inner) = chosen;
         self.relay.tick(members, serves);
-        self.relay.set_helpers(self.helpers());
+        self.relay.set_delegate_members(self.helpers());
     }
 
     /// Lists the members that may be asked for shards in their region.
-    fn helpers(&self) -> Vec<Helper> {
+    fn helpers(&self) -> Vec<DelegateMember> {
         let settings = self.relay.settings();
         let helper = |record: &Record| {
             let (zone, region) = (Name::clone(&record.zone), self.region(&record.zone));
-            Helper { ip: record.endpoint.ip, zone, region }
+            DelegateMember { ip: record.endpoint.ip, zone, region }
         };
         let serving = self.serving();
         let can_help = |record: &&Record| {
@@ -414,7 +414,7 @@
     while !stop.is_cancelled() {
         inner.seat();
         inner.peers.set_news(inner.relay.version(), inner.feed.is_fresh());
-        inner.relay.set_news_sent(inner.feed.sent());
+        inner.relay.set_update_bytes_sent(inner.feed.sent());
         inner.relay.set_store_era(inner.feed.lock().at().era);
         inner.log_changes();
         ticks = ticks.wrapping_add(1);
@@ -431,10 +431,10 @@
     let (wanted, restored) = (Arc::clone(inner), Arc::clone(inner));
     Sink {
         news: Box::new(move |record| take(&news.relay, record)),
-        away: Box::new(move |is_away, age| away.relay.set_store_away(is_away, age)),
+        away: Box::new(move |is_away, age| away.relay.set_store_unavailable(is_away, age)),
         restored: Box::new(move |former, at| restored.relay.note_restore(former, at)),
         behind: Box::new(move || behind.relay.is_behind()),
-        wanted: Box::new(move || wanted.relay.is_wanted()),
+        wanted: Box::new(move || wanted.relay.has_early_request()),
         asked: Box::new(move |question| note(&asked.relay, question)),
     }
 }
@@ -442,16 +442,16 @@
 /// Counts a question of the feed, and notes that news came.
 fn note(relay: &Relay, question: &Asked) {
     let origin = if question.origin == Origin::Store { "store" } else { "member" };
-    relay.count_news(origin, question.trouble.unwrap_or("answered"), question.bytes);
+    relay.count_store_update(origin, question.trouble.unwrap_or("answered"), question.bytes);
     if question.trouble.is_none() && question.subject == Subject::News {
-        relay.heard(question.at);
+        relay.note_store_update(question.at);
     }
 }
 
 fn take(relay: &Relay, news: News) {
     match news {
         News::Declared(declaration) => {
-            relay.declare(*declaration);
+            relay.apply_declaration(*declaration);
         }
         News::Published(upstream) => relay.publish(upstream),
         News::Disappeared(id) => relay.disappear(&id),
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -8,7 +8,7 @@
 use bergamot_feed::{Asking, Fetching, Question, Shared, Trouble};
 use bergamot_net::Fault;
 use bergamot_quarantine::Fingerprint;
-use bergamot_relay::{Exchange, Helping, Relay};
+use bergamot_relay::{Helping, MemberFuture, Relay};
 use bergamot_wire::{
     Channels, Item, Late, Member, MemberClient, News, NewsQuery, ShardQuery, ShardReply,
     run_requests, serve_requests, transport,
@@ -41,15 +41,15 @@
 
 impl Member for Server {
     async fn gather(self, _context: Context, query: ShardQuery) -> ShardReply {
-        self.relay.answer(query).await
+        self.relay.answer_shard_query(query).await
     }
 
     async fn rest(self, _context: Context, token: u64) -> Vec<Late> {
-        self.relay.rest(token).await
+        self.relay.next_late_shards(token).await
     }
 
     async fn records(self, _context: Context, token: u64) -> Option<Vec<u8>> {
-        self.relay.records(token)
+        self.relay.take_left_out_records(token)
     }
 
     async fn grant(self, _context: Context, fingerprint: Fingerprint) -> bool {
@@ -118,7 +118,7 @@
     peer: (Ipv4Addr, u16),
     until: Instant,
     ask: impl FnOnce(MemberClient, Context) -> F + Send + 'static,
-) -> Exchange<T>
+) -> MemberFuture<T>
 where
     T: Send + 'static,
     F: Future<Output = Result<T, RpcError>> + Send,
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -12,11 +12,11 @@
 
 use crate::exchange::{AttemptError, exchange};
 use crate::link::SearcherLink;
-use crate::message::{Job, Passed};
+use crate::message::{Job, SearcherResponse};
 use crate::relay::Relay;
 
 /// The searcher that was asked, and how the attempt ended.
-pub(crate) type AttemptResult = (Arc<SearcherLink>, Result<Passed, AttemptError>);
+pub(crate) type AttemptResult = (Arc<SearcherLink>, Result<SearcherResponse, AttemptError>);
 
 /// Limits of an attempt, fixed before it starts.
 #[derive(Clone, Copy, Debug)]
--- a/crates/relay/src/delegate.rs
+++ b/crates/relay/src/delegate.rs
@@ -28,21 +28,22 @@
 const MEMBER_SLOTS: usize = 8;
 
 /// The pending result of a call to another member.
-pub type Exchange<T> = BoxFuture<'static, Result<T, String>>;
+pub type MemberFuture<T> = BoxFuture<'static, Result<T, String>>;
 
 /// Calls a member with a token from its earlier reply, with a deadline.
-pub type Claim<T> = Box<dyn Fn(Ipv4Addr, u64, Instant) -> Exchange<T> + Send + Sync>;
+pub type TokenCall<T> = Box<dyn Fn(Ipv4Addr, u64, Instant) -> MemberFuture<T> + Send + Sync>;
 
 /// Calls to other members.
 pub struct Helping {
     /// Queries a member for shards, with a deadline.
-    pub gather: Box<dyn Fn(Ipv4Addr, ShardQuery, Instant) -> Exchange<ShardReply> + Send + Sync>,
+    pub gather:
+        Box<dyn Fn(Ipv4Addr, ShardQuery, Instant) -> MemberFuture<ShardReply> + Send + Sync>,
     /// Fetches shards that arrived at a member after its reply, with a deadline.
-    pub rest: Claim<Vec<Late>>,
+    pub rest: TokenCall<Vec<Late>>,
     /// Fetches the records that a member left out of its reply, with a deadline.
-    pub records: Claim<Option<Vec<u8>>>,
+    pub records: TokenCall<Option<Vec<u8>>>,
     /// Asks a member for permission to run a trial of a request, with a deadline.
-    pub grant: Box<dyn Fn(Ipv4Addr, Fingerprint, Instant) -> Exchange<bool> + Send + Sync>,
+    pub grant: Box<dyn Fn(Ipv4Addr, Fingerprint, Instant) -> MemberFuture<bool> + Send + Sync>,
 }
 
 impl std::fmt::Debug for Helping {
@@ -53,7 +54,7 @@
 
 /// Another member to which shards can be delegated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Helper {
+pub struct DelegateMember {
     /// The address of the member.
     pub ip: Ipv4Addr,
     /// The availability zone of the member.
@@ -81,10 +82,10 @@
         }
     }
 
-    fn contains(&self, helper: &Helper) -> bool {
+    fn contains(&self, member: &DelegateMember) -> bool {
         match self {
-            Self::Zone(zone) => helper.zone == *zone,
-            Self::Region(region) => helper.region == *region,
+            Self::Zone(zone) => member.zone == *zone,
+            Self::Region(region) => member.region == *region,
         }
     }
 }
@@ -125,7 +126,7 @@
 #[derive(Debug)]
 pub(crate) struct DelegateMembers {
     policy: Arc<Policy>,
-    known: Vec<Helper>,
+    known: Vec<DelegateMember>,
     outlooks: BTreeMap<Ipv4Addr, Outlook>,
 }
 
@@ -135,20 +136,20 @@
     }
 
     /// Replaces the set of available members.
-    pub(crate) fn set(&mut self, known: Vec<Helper>) {
-        self.outlooks.retain(|ip, _| known.iter().any(|helper| helper.ip == *ip));
+    pub(crate) fn set(&mut self, known: Vec<DelegateMember>) {
+        self.outlooks.retain(|ip, _| known.iter().any(|member| member.ip == *ip));
         self.known = known;
     }
 
     /// Chooses the member at a location with the lowest expected delay, unless none of them
     /// responds.
     pub(crate) fn choose(&self, location: &RemoteLocation, now: Instant) -> Option<Ipv4Addr> {
-        let expected = |helper: &Helper| {
-            let outlook = self.outlooks.get(&helper.ip);
+        let expected = |member: &DelegateMember| {
+            let outlook = self.outlooks.get(&member.ip);
             outlook.map_or(0.0, |outlook| outlook.expected(now, MEMBER_SLOTS, false))
         };
-        let there = self.known.iter().filter(|helper| location.contains(helper));
-        let timed = there.map(|helper| (expected(helper), helper.ip));
+        let there = self.known.iter().filter(|member| location.contains(member));
+        let timed = there.map(|member| (expected(member), member.ip));
         let best = timed.min_by(|a, b| a.0.total_cmp(&b.0))?;
         (best.0 < self.policy.delegate.silent).then_some(best.1)
     }
@@ -171,8 +172,8 @@
 impl Drop for PendingQuery<'_> {
     fn drop(&mut self) {
         let now = Instant::now();
-        self.relay.with_helpers(|helpers| {
-            let outlook = helpers.outlook(self.ip);
+        self.relay.with_delegates(|delegates| {
+            let outlook = delegates.outlook(self.ip);
             if self.answered {
                 outlook.answer(self.sent, now);
             } else {
@@ -205,7 +206,7 @@
     let usual = plan.usual_by.saturating_duration_since(sent);
     let policy = relay.settings.policy.delegate;
     let query = build_query(job, shards, limits, usual.max(policy.least), plan);
-    relay.with_helpers(|helpers| helpers.outlook(ip).send(sent));
+    relay.with_delegates(|delegates| delegates.outlook(ip).send(sent));
     let mut pending = PendingQuery { relay, ip, sent, answered: false };
     let until = sent + usual.max(policy.least) + relay.expected_delay(location) + policy.late;
     let answer =
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -9,11 +9,11 @@
 
 /// Metadata sent with each request to a searcher.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct RequestMetadata<'a> {
     /// The caller's identifier of the request.
     pub id: &'a HeaderValue,
     /// The time left until the caller's deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The identifier of the intended searcher; any other searcher at the address must not run the
     /// request.
     pub searcher: &'a str,
@@ -21,7 +21,7 @@
 
 /// Metadata from the head of a searcher's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct ResponseMetadata {
     /// The identifier of the request that is answered, if present.
     pub id: Option<HeaderValue>,
     /// The searcher's signature of its response.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
     /// Writes request metadata to the headers.
-    pub ask: fn(&Ask<'_>, &mut HeaderMap),
+    pub write_request: fn(&RequestMetadata<'_>, &mut HeaderMap),
     /// Reads response metadata from the head.
-    pub read: fn(&Parts) -> Reading,
+    pub read_response: fn(&Parts) -> ResponseMetadata,
 }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -17,9 +17,9 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Response;
 
-use crate::dialect::{Ask, Reading};
+use crate::dialect::{RequestMetadata, ResponseMetadata};
 use crate::link::SearcherLink;
-use crate::message::{Job, Passed};
+use crate::message::{Job, SearcherResponse};
 use crate::relay::Relay;
 
 /// A failed attempt: no response, or none that counts as a success.
@@ -34,7 +34,7 @@
     /// Whether the searcher process has ended.
     pub(crate) searcher_ended: bool,
     /// The searcher's error response, if it can be forwarded.
-    pub(crate) response: Option<Box<Passed>>,
+    pub(crate) response: Option<Box<SearcherResponse>>,
 }
 
 impl AttemptError {
@@ -93,7 +93,7 @@
     job: &Job,
     connect_by: Instant,
     deadline: Instant,
-) -> Result<Passed, AttemptError> {
+) -> Result<SearcherResponse, AttemptError> {
     let searcher = &link.upstream.incarnation;
     let lease = link.pool.lease(deadline_at(connect_by)).await.map_err(|fault| {
         link.outlook().fail(Instant::now());
@@ -106,12 +106,12 @@
     let sent = Instant::now();
     let pending = PendingRequest::start(link, sent);
     match send(relay, link, job, lease, deadline).await {
-        Ok(passed) => {
+        Ok(response) => {
             pending.answered();
             if !job.route.is_empty() && link.distance != Distance::Far {
                 relay.record_latency(&job.route, sent.elapsed());
             }
-            Ok(passed)
+            Ok(response)
         }
         Err(error) => {
             pending.failed();
@@ -126,7 +126,7 @@
     job: &Job,
     mut lease: Lease,
     deadline: Instant,
-) -> Result<Passed, AttemptError> {
+) -> Result<SearcherResponse, AttemptError> {
     let request = build_request(relay, link, job, deadline)?;
     let sent = lease.sender().try_send_request(request).await;
     let response = sent.map_err(|error| {
@@ -138,21 +138,21 @@
         }
     })?;
     let (parts, body) = response.into_parts();
-    let reading = (relay.dialect().read)(&parts);
-    if reading.id.as_ref().is_some_and(|id| *id != job.request.id) {
+    let metadata = (relay.dialect().read_response)(&parts);
+    if metadata.id.as_ref().is_some_and(|id| *id != job.request.id) {
         return Err(AttemptError::new(
             Ending::Unknown,
             "response carries the identifier of another request",
         ));
     }
-    let whole = Limited::new(body, relay.settings().largest_answer).collect().await;
-    let body = whole.map_err(|error| {
+    let collected = Limited::new(body, relay.settings().max_response_bytes).collect().await;
+    let body = collected.map_err(|error| {
         // The head states whether the request ran, even if the body is truncated.
-        let ending = if reading.not_run { Ending::NotRun } else { Ending::Unknown };
+        let ending = if metadata.not_run { Ending::NotRun } else { Ending::Unknown };
         AttemptError::new(ending, error)
     })?;
     tokio::spawn(lease.give_back());
-    classify_response(relay, link, Response::from_parts(parts, body.to_bytes()), reading)
+    classify_response(relay, link, Response::from_parts(parts, body.to_bytes()), metadata)
 }
 
 /// Formats a connection error with its source.
@@ -166,8 +166,8 @@
     job: &Job,
     deadline: Instant,
 ) -> Result<hyper::Request<Full<Bytes>>, AttemptError> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left < Duration::from_millis(1) {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining < Duration::from_millis(1) {
         return Err(AttemptError::new(
             Ending::NotSent,
             "deadline exceeded before the request was sent",
@@ -177,8 +177,9 @@
     *request.method_mut() = job.request.method.clone();
     *request.uri_mut() = job.request.uri.clone();
     *request.headers_mut() = job.request.headers.clone();
-    let ask = Ask { id: &job.request.id, left, searcher: &link.upstream.incarnation.id };
-    (relay.dialect().ask)(&ask, request.headers_mut());
+    let metadata =
+        RequestMetadata { id: &job.request.id, remaining, searcher: &link.upstream.incarnation.id };
+    (relay.dialect().write_request)(&metadata, request.headers_mut());
     Ok(request)
 }
 
@@ -187,33 +188,33 @@
     relay: &Relay,
     link: &SearcherLink,
     response: Response<Bytes>,
-    reading: Reading,
-) -> Result<Passed, AttemptError> {
+    metadata: ResponseMetadata,
+) -> Result<SearcherResponse, AttemptError> {
     let status = response.status();
-    if reading.misdirected {
-        relay.mark_ended(&link.upstream.incarnation, reading.searcher.as_deref());
+    if metadata.misdirected {
+        relay.mark_ended(&link.upstream.incarnation, metadata.searcher.as_deref());
         return Err(AttemptError::new(Ending::NotRun, "another searcher answered at this address"));
     }
-    if reading.not_run {
+    if metadata.not_run {
         return Err(AttemptError::new(
             Ending::NotRun,
             format!("not executed, status {}", status.as_u16()),
         ));
     }
-    let signed = reading.signature.is_some();
+    let signed = metadata.signature.is_some();
     if !signed && status.is_success() {
         return Err(AttemptError::new(Ending::Unknown, "successful response without a signature"));
     }
     let (parts, body) = response.into_parts();
     let mut headers = parts.headers;
     strip_hop(&mut headers);
-    let passed = Passed { status, headers, body, signature: reading.signature };
+    let response = SearcherResponse { status, headers, body, signature: metadata.signature };
     if status.is_server_error() || !signed {
         let error =
             AttemptError::new(Ending::Failed, format!("failed, status {}", status.as_u16()));
-        return Err(AttemptError { response: signed.then(|| Box::new(passed)), ..error });
+        return Err(AttemptError { response: signed.then(|| Box::new(response)), ..error });
     }
-    Ok(passed)
+    Ok(response)
 }
 
 fn deadline_at(at: Instant) -> Deadline {
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -21,7 +21,7 @@
 use tokio::time::sleep_until;
 
 use crate::delegate::{self, RecordLimits, RemoteLocation};
-use crate::message::{Cause, Job, Passed, Refusal, Reply, Whole};
+use crate::message::{Cause, Job, MergedResponse, Refusal, Reply, SearcherResponse};
 use crate::partial_results::{MemberPart, PartialResults};
 use crate::quarantine::TrialAnswer;
 use crate::race::{Race, RaceFailure, RacePlan, TriedSearcher};
@@ -30,7 +30,7 @@
 /// The result of one of the concurrent operations.
 enum WorkResult<'a> {
     /// The result of the attempts for one shard.
-    Searcher(&'a Name, Result<Passed, RaceFailure>),
+    Searcher(&'a Name, Result<SearcherResponse, RaceFailure>),
     /// The reply of a member.
     Member(MemberQuery<'a>, Option<ShardReply>),
     /// Shards that arrived at a member after its reply.
@@ -102,7 +102,7 @@
         let left_out = state.sources.keys().map(|shard| Name::clone(shard)).collect();
         job.left_out.get_or_init(|| left_out);
     }
-    Reply::Whole(Whole { signatures: state.parts.into_signatures(), missing, records })
+    Reply::Merged(MergedResponse { signatures: state.parts.into_signatures(), missing, records })
 }
 
 /// The parts received so far and the operations in progress.
@@ -131,12 +131,12 @@
         let (parts, sources) = (PartialResults::default(), HashMap::new());
         let mut state = Self { relay, job, plan, worst_ending, parts, work, sources };
         let mut shards: Vec<&Name> = gather.shards.iter().collect();
-        if let Some(TrialAnswer { service, passed }) = first
+        if let Some(TrialAnswer { service, response }) = first
             && let Some(at) = shards.iter().position(|shard| **shard == service)
         {
             let shard = shards.remove(at);
             state.sources.insert(shard, 1);
-            state.add_part(shard, passed.signature, passed.body);
+            state.add_part(shard, response.signature, response.body);
         }
         // With a single attempt allowed, shards that a member misses could not be asked again.
         let delegates = relay.settings.policy.delegate.on && job.max_attempts > 1;
@@ -200,8 +200,8 @@
 
     fn handle_result(&mut self, result: WorkResult<'a>) {
         match result {
-            WorkResult::Searcher(shard, Ok(passed)) => {
-                self.add_part(shard, passed.signature, passed.body);
+            WorkResult::Searcher(shard, Ok(response)) => {
+                self.add_part(shard, response.signature, response.body);
             }
             WorkResult::Searcher(shard, Err(failure)) => {
                 self.worst_ending = self.worst_ending.max(failure.ending);
@@ -354,8 +354,8 @@
     let now = Instant::now();
     let mut groups = Vec::new();
     for (location, shards) in locations {
-        let helper = relay.with_helpers(|helpers| helpers.choose(&location, now));
-        match helper.filter(|_| shards.len() >= relay.settings.policy.delegate.fewest) {
+        let member = relay.with_delegates(|delegates| delegates.choose(&location, now));
+        match member.filter(|_| shards.len() >= relay.settings.policy.delegate.fewest) {
             Some(ip) => groups.push(MemberGroup { ip, location, shards }),
             None => direct.extend(shards),
         }
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -79,19 +79,22 @@
         reply: &Reply,
         (took, target): (Duration, Option<Duration>),
     ) {
-        let whole = matches!(reply, Reply::Passed(passed) if !passed.status.is_server_error())
-            || matches!(reply, Reply::Whole(whole) if whole.missing == 0);
-        let ordinary = whole && target.is_none_or(|target| took <= target);
+        let complete = match reply {
+            Reply::Forwarded(response) => !response.status.is_server_error(),
+            Reply::Merged(merged) => merged.missing == 0,
+            Reply::Refused(_) => false,
+        };
+        let ordinary = complete && target.is_none_or(|target| took <= target);
         let left_out =
             if ordinary { self.lock().log_sampler.admit(Instant::now()) } else { Some(0) };
         let Some(left_out) = left_out else { return };
         let (outcome, took) = (outcome(reply), took.as_millis());
         let target = target.unwrap_or_default().as_millis();
         let detail = match reply {
-            Reply::Passed(passed) => format!("status={}", passed.status.as_u16()),
-            Reply::Whole(whole) => {
-                let shards = whole.signatures.len() + whole.missing;
-                format!("missing={} shards={shards}", whole.missing)
+            Reply::Forwarded(response) => format!("status={}", response.status.as_u16()),
+            Reply::Merged(merged) => {
+                let shards = merged.signatures.len() + merged.missing;
+                format!("missing={} shards={shards}", merged.missing)
             }
             Reply::Refused(refusal) => {
                 let after = refusal.retry_after.map_or(0, |after| after.as_millis());
@@ -142,7 +145,7 @@
     ) -> Reply {
         match (target, first) {
             (Target::Gather(shards), first) => gather(self, job, shards, patience, first).await,
-            (_, Some(first)) => Reply::Passed(first.passed),
+            (_, Some(first)) => Reply::Forwarded(first.response),
             (_, None) => match self.select_service(&job.route, target) {
                 Some(service) => self.send_to_service(job, &service, patience).await,
                 None => refusal(Cause::NotRun, None),
@@ -179,7 +182,7 @@
         self.earn_attempts(service);
         let plan = RacePlan::new(job, patience, &self.settings.policy);
         match Race::new(self, job, service, plan).run().await {
-            Ok(passed) => Reply::Passed(passed),
+            Ok(response) => Reply::Forwarded(response),
             Err(failure) => self.refuse_failed(job, service, failure),
         }
     }
@@ -187,7 +190,7 @@
     /// Ends a request to one service whose attempts have failed.
     pub(crate) fn refuse_failed(&self, job: &Job, service: &Name, failure: RaceFailure) -> Reply {
         if let Some(failure) = failure.response {
-            return Reply::Passed(*failure);
+            return Reply::Forwarded(*failure);
         }
         let cause = match () {
             () if failure.ending.did_not_run() => Cause::NotRun,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -27,8 +27,8 @@
 mod state;
 
 pub use coverage::Coverage;
-pub use delegate::{Claim, Exchange, Helper, Helping};
-pub use dialect::{Ask, Dialect, Reading};
-pub use message::{Cause, Passed, Refusal, Reply, Request, Whole};
+pub use delegate::{DelegateMember, Helping, MemberFuture, TokenCall};
+pub use dialect::{Dialect, RequestMetadata, ResponseMetadata};
+pub use message::{Cause, MergedResponse, Refusal, Reply, Request, SearcherResponse};
 pub use relay::Relay;
 pub use settings::Settings;
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -43,7 +43,7 @@
         let here = (&*settings.zone, region(&settings.zone));
         let there = (&*upstream.zone, region(&upstream.zone));
         let distance = Distance::between(here, there);
-        let pool = Pool::new(settings.address, upstream.address, share, settings.dial);
+        let pool = Pool::new(settings.address, upstream.address, share, settings.connect_timeout);
         let policy = Arc::clone(&settings.policy);
         let outlook =
             Mutex::new(Outlook::new(distance.guess(round_trip), Arc::clone(&policy), rhythm));
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -45,7 +45,7 @@
 
 /// A searcher's complete response.
 #[derive(Clone, Debug)]
-pub struct Passed {
+pub struct SearcherResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers to forward to the caller.
@@ -58,7 +58,7 @@
 
 /// A response merged from several shards.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct MergedResponse {
     /// The signatures of the included parts.
     pub signatures: Vec<HeaderValue>,
     /// The number of missing shards.
@@ -95,9 +95,9 @@
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// The response of one searcher.
-    Passed(Passed),
+    Forwarded(SearcherResponse),
     /// The merged response of several searchers.
-    Whole(Whole),
+    Merged(MergedResponse),
     /// No response.
     Refused(Refusal),
 }
--- a/crates/relay/src/meter.rs
+++ b/crates/relay/src/meter.rs
@@ -169,8 +169,8 @@
     pub(crate) fn count_request(&self, route: &str, reply: &Reply, took: Duration) {
         self.requests.with_label_values(&[route, outcome(reply)]).inc();
         self.latency.with_label_values(&[route]).observe(took.as_secs_f64());
-        if let Reply::Whole(whole) = reply {
-            self.missing_parts.inc_by(whole.missing as u64);
+        if let Reply::Merged(merged) = reply {
+            self.missing_parts.inc_by(merged.missing as u64);
         }
     }
 
@@ -210,9 +210,9 @@
 /// Returns the outcome of a request as named in metrics and logs.
 pub(crate) fn outcome(reply: &Reply) -> &'static str {
     match reply {
-        Reply::Passed(_) => "passed",
-        Reply::Whole(whole) if whole.missing == 0 => "complete",
-        Reply::Whole(_) => "partial",
+        Reply::Forwarded(_) => "passed",
+        Reply::Merged(merged) if merged.missing == 0 => "complete",
+        Reply::Merged(_) => "partial",
         Reply::Refused(refusal) => match refusal.cause {
             Cause::NotReady => "not_ready",
             Cause::NoRoute => "no_route",
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -18,7 +18,7 @@
 
 use crate::handler::refusal;
 use crate::link::SearcherLink;
-use crate::message::{Cause, Job, Passed, Reply};
+use crate::message::{Cause, Job, Reply, SearcherResponse};
 use crate::race::{Race, RacePlan};
 use crate::relay::Relay;
 
@@ -32,7 +32,7 @@
     /// The service of the searcher.
     pub(crate) service: Name,
     /// The response.
-    pub(crate) passed: Passed,
+    pub(crate) response: SearcherResponse,
 }
 
 impl Relay {
@@ -124,9 +124,9 @@
         }
         let plan = RacePlan::new(job, patience, &self.settings.policy).single_attempt();
         match Race::new(self, job, &service, plan).run().await {
-            Ok(passed) => {
+            Ok(response) => {
                 self.clear_suspicion(job, std::slice::from_ref(&service));
-                Ok(TrialAnswer { service, passed })
+                Ok(TrialAnswer { service, response })
             }
             Err(failure) => Err(self.refuse_failed(job, &service, failure)),
         }
@@ -183,12 +183,12 @@
         if !self.quarantine().is_used() {
             return;
         }
-        let whole = match reply {
-            Reply::Passed(passed) => !passed.status.is_server_error(),
-            Reply::Whole(whole) => whole.missing == 0,
+        let complete = match reply {
+            Reply::Forwarded(response) => !response.status.is_server_error(),
+            Reply::Merged(merged) => merged.missing == 0,
             Reply::Refused(_) => false,
         };
-        if whole {
+        if complete {
             let services: Vec<Name> = target.services().cloned().collect();
             self.clear_suspicion(job, &services);
         }
--- a/crates/relay/src/race.rs
+++ b/crates/relay/src/race.rs
@@ -20,7 +20,7 @@
 
 use crate::attempt::{self, Attempt, AttemptLimits};
 use crate::exchange::AttemptError;
-use crate::message::{Job, Passed};
+use crate::message::{Job, SearcherResponse};
 use crate::meter::AttemptReason;
 use crate::relay::Relay;
 
@@ -32,7 +32,7 @@
     /// Whether the deadline passed.
     pub(crate) timed_out: bool,
     /// An error response of a searcher that can be forwarded.
-    pub(crate) response: Option<Box<Passed>>,
+    pub(crate) response: Option<Box<SearcherResponse>>,
 }
 
 /// A searcher that was already asked for a request.
@@ -152,13 +152,13 @@
     }
 
     /// Runs attempts until one succeeds, none can follow, or the deadline passes.
-    pub(crate) async fn run(mut self) -> Result<Passed, RaceFailure> {
+    pub(crate) async fn run(mut self) -> Result<SearcherResponse, RaceFailure> {
         let response = self.run_attempts().await;
         self.finished = true;
         response.ok_or_else(|| self.worst.clone())
     }
 
-    async fn run_attempts(&mut self) -> Option<Passed> {
+    async fn run_attempts(&mut self) -> Option<SearcherResponse> {
         let deadline = self.plan.deadline;
         let mut hedge_at = self.plan.hedge_at;
         let first = if self.delivered > 0 { AttemptReason::Hedge } else { AttemptReason::First };
@@ -177,9 +177,9 @@
                     let (link, outcome) = outcome?;
                     self.running.retain(|attempt| !Arc::ptr_eq(&attempt.link, &link));
                     match outcome {
-                        Ok(passed) => {
+                        Ok(response) => {
                             self.settle_trial(Outcome::Answered);
-                            return Some(passed);
+                            return Some(response);
                         }
                         Err(error) => self.record_error(&link.upstream.incarnation, error),
                     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -16,7 +16,7 @@
 use bergamot_registry::{Registry, Upstream};
 use bergamot_wire::{Late, ShardQuery, ShardReply};
 
-use crate::delegate::{DelegateMembers, Helper, Helping};
+use crate::delegate::{DelegateMember, DelegateMembers, Helping};
 use crate::dialect::Dialect;
 use crate::meter::Meter;
 use crate::settings::Settings;
@@ -32,7 +32,7 @@
     dialect: Dialect,
     pub(crate) meter: Meter,
     state: Mutex<State>,
-    helpers: Mutex<DelegateMembers>,
+    delegates: Mutex<DelegateMembers>,
     helping: Helping,
     /// Whether new requests must wait for a store update because the process was paused, and since
     /// when.
@@ -40,7 +40,7 @@
     woke_at: Mutex<Option<Instant>>,
     pub(crate) pending: Mutex<PendingResults>,
     /// Whether a request was received before the first declaration.
-    requested_early: AtomicBool,
+    early_request: AtomicBool,
     /// Searcher changes that have not been logged yet.
     changes: Mutex<Changes>,
     /// The period of the searchers' pauses.
@@ -61,9 +61,9 @@
     /// `helping` makes the calls to other members.
     pub fn new(settings: Settings, dialect: Dialect, helping: Helping) -> Arc<Self> {
         let state = Mutex::new(State::new(&settings.policy));
-        let helpers = Mutex::new(DelegateMembers::new(Arc::clone(&settings.policy)));
+        let delegates = Mutex::new(DelegateMembers::new(Arc::clone(&settings.policy)));
         let (pending, changes) = (Mutex::default(), Mutex::default());
-        let awake = Awake::new(settings.pause);
+        let awake = Awake::new(settings.pause_threshold);
         let (meter, woke_at) = (Meter::new(), Mutex::default());
         let rhythm = Rhythm::default();
         Arc::new(Self {
@@ -71,12 +71,12 @@
             dialect,
             meter,
             state,
-            helpers,
+            delegates,
             helping,
             awake,
             woke_at,
             pending,
-            requested_early: AtomicBool::new(false),
+            early_request: AtomicBool::new(false),
             changes,
             rhythm,
             quarantine: Arc::default(),
@@ -102,8 +102,8 @@
     }
 
     /// Sets the other members to which shards of their region can be delegated.
-    pub fn set_helpers(&self, known: Vec<Helper>) {
-        self.with_helpers(|helpers| helpers.set(known));
+    pub fn set_delegate_members(&self, known: Vec<DelegateMember>) {
+        self.with_delegates(|delegates| delegates.set(known));
     }
 
     /// Sets the members that serve requests, including this one.
@@ -112,22 +112,22 @@
     }
 
     /// Answers a shard query of another member.
-    pub async fn answer(self: &Arc<Self>, query: ShardQuery) -> ShardReply {
+    pub async fn answer_shard_query(self: &Arc<Self>, query: ShardQuery) -> ShardReply {
         shard_query::answer(self, query).await
     }
 
     /// Returns to a member the next shards of its earlier query.
-    pub async fn rest(self: &Arc<Self>, token: u64) -> Vec<Late> {
+    pub async fn next_late_shards(self: &Arc<Self>, token: u64) -> Vec<Late> {
         shard_query::next_late(self, token).await
     }
 
     /// Returns the records left out of an earlier reply to a member.
-    pub fn records(&self, token: u64) -> Option<Vec<u8>> {
+    pub fn take_left_out_records(&self, token: u64) -> Option<Vec<u8>> {
         shard_query::take_records(self, token)
     }
 
-    pub(crate) fn with_helpers<T>(&self, change: impl FnOnce(&mut DelegateMembers) -> T) -> T {
-        change(&mut self.helpers.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_delegates<T>(&self, change: impl FnOnce(&mut DelegateMembers) -> T) -> T {
+        change(&mut self.delegates.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     pub(crate) fn helping(&self) -> &Helping {
@@ -183,7 +183,7 @@
     }
 
     /// Applies a checked declaration if it is newer than the current one.
-    pub fn declare(&self, declaration: Declaration) -> Verdict {
+    pub fn apply_declaration(&self, declaration: Declaration) -> Verdict {
         let mut state = self.lock();
         let verdict = state.version_floor.adopt(declaration.version, declaration.digest);
         if verdict == Verdict::Newer {
@@ -271,10 +271,10 @@
     ///
     /// Entries missing after an outage are treated as doubtful only if the outage lasted as long as
     /// the expiry of entries.
-    pub fn set_store_away(&self, away: bool, age: Duration) {
+    pub fn set_store_unavailable(&self, unavailable: bool, age: Duration) {
         let now = Instant::now();
         let mut state = self.lock();
-        match (state.store_unavailable_since, away) {
+        match (state.store_unavailable_since, unavailable) {
             (None, true) => state.store_unavailable_since = now.checked_sub(age).or(Some(now)),
             (Some(since), false) => {
                 state.store_unavailable_since = None;
@@ -287,7 +287,7 @@
             }
             (None, false) | (Some(_), true) => {}
         }
-        self.meter.store_away.set(i64::from(away));
+        self.meter.store_away.set(i64::from(unavailable));
     }
 
     /// Handles the restore of the store from a backup. The earlier state is retained for a while:
@@ -311,13 +311,13 @@
     }
 
     /// Returns whether a request was received before the first declaration.
-    pub fn is_wanted(&self) -> bool {
-        self.requested_early.load(Ordering::Relaxed)
+    pub fn has_early_request(&self) -> bool {
+        self.early_request.load(Ordering::Relaxed)
     }
 
     /// Returns why there is no declaration yet.
     pub(crate) fn not_ready_obstacle(&self) -> Obstacle {
-        self.requested_early.store(true, Ordering::Relaxed);
+        self.early_request.store(true, Ordering::Relaxed);
         if self.lock().store_unavailable_since.is_some() {
             Obstacle::Outage
         } else {
@@ -354,7 +354,7 @@
     }
 
     /// Records that an update requested at `asked` was received.
-    pub fn heard(&self, asked: Instant) {
+    pub fn note_store_update(&self, asked: Instant) {
         let mut woke_at = self.woke_at.lock().unwrap_or_else(PoisonError::into_inner);
         if woke_at.is_some_and(|woke_at| asked >= woke_at) {
             *woke_at = None;
@@ -363,7 +363,7 @@
     }
 
     /// Counts a request for store updates by origin and result, and the bytes received.
-    pub fn count_news(&self, origin: &str, result: &str, bytes: usize) {
+    pub fn count_store_update(&self, origin: &str, result: &str, bytes: usize) {
         self.meter.news.with_label_values(&[origin, result]).inc();
         self.meter.news_bytes.with_label_values(&[origin]).inc_by(bytes as u64);
     }
@@ -374,7 +374,7 @@
     }
 
     /// Sets the total number of update bytes that this member has sent to others.
-    pub fn set_news_sent(&self, bytes: u64) {
+    pub fn set_update_bytes_sent(&self, bytes: u64) {
         let sent = self.meter.news_bytes.with_label_values(&["sent"]);
         sent.inc_by(bytes.saturating_sub(sent.get()));
     }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -26,12 +26,12 @@
     /// The interval at which searchers renew their entries in the store.
     pub heartbeat: Duration,
     /// The timeout for opening a connection: several round trips between regions (16 ms).
-    pub dial: Duration,
+    pub connect_timeout: Duration,
     /// The longest gap between two ticks that is not treated as a pause of the process: seven
     /// ticks, because a machine with an eighth of a core may miss some when it is slow.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
     /// The maximum size of a searcher's response, in bytes.
-    pub largest_answer: usize,
+    pub max_response_bytes: usize,
     /// The mechanisms of the decisions and their parameters.
     pub policy: Arc<Policy>,
 }
@@ -44,9 +44,9 @@
             regions: BTreeMap::new(),
             terms: Terms::default(),
             heartbeat: Duration::from_secs(1),
-            dial: Duration::from_millis(300),
-            pause: Duration::from_millis(700),
-            largest_answer: 16 << 20,
+            connect_timeout: Duration::from_millis(300),
+            pause_threshold: Duration::from_millis(700),
+            max_response_bytes: 16 << 20,
             policy: Arc::default(),
         }
     }
--- a/crates/relay/src/shard_query.rs
+++ b/crates/relay/src/shard_query.rs
@@ -19,7 +19,7 @@
 
 use crate::attempt::{Attempt, AttemptLimits, AttemptResult};
 use crate::exchange::AttemptError;
-use crate::message::{Job, Passed, Request};
+use crate::message::{Job, Request, SearcherResponse};
 use crate::meter::AttemptReason;
 use crate::relay::Relay;
 
@@ -51,7 +51,7 @@
 
 impl RunningAttempts {
     /// Waits for the next attempt to end and returns it with the index of its shard.
-    async fn next(&mut self) -> Option<(usize, Result<Passed, AttemptError>)> {
+    async fn next(&mut self) -> Option<(usize, Result<SearcherResponse, AttemptError>)> {
         while !self.running.is_empty() {
             let (link, outcome) = self.results.recv().await?;
             let ours = |(_, attempt): &(usize, Attempt)| Arc::ptr_eq(&attempt.link, &link);
@@ -80,9 +80,9 @@
     while let Ok(Some((index, outcome))) = tokio::time::timeout_at(until.into(), work.next()).await
     {
         match outcome {
-            Ok(passed) => {
-                shards[index] = Shard::In(signature(&passed));
-                parts.push(passed.body);
+            Ok(response) => {
+                shards[index] = Shard::In(signature(&response));
+                parts.push(response.body);
             }
             // The request was not sent, so the sender still has its first attempt.
             Err(error) if error.ending == Ending::NotSent => {
@@ -182,9 +182,9 @@
         return Vec::new();
     };
     let late = match outcome {
-        Ok(passed) => {
-            let signature = Some(signature(&passed));
-            Late { index: index as u32, signature, records: passed.body.to_vec(), ended: false }
+        Ok(response) => {
+            let signature = Some(signature(&response));
+            Late { index: index as u32, signature, records: response.body.to_vec(), ended: false }
         }
         Err(error) => {
             relay.meter().count_ending(error.ending);
@@ -198,8 +198,8 @@
     vec![late]
 }
 
-fn signature(passed: &Passed) -> Vec<u8> {
-    passed.signature.as_ref().map(HeaderValue::as_bytes).unwrap_or_default().to_vec()
+fn signature(response: &SearcherResponse) -> Vec<u8> {
+    response.signature.as_ref().map(HeaderValue::as_bytes).unwrap_or_default().to_vec()
 }
 
 fn parse_request(query: ShardQuery, received: Instant) -> Option<Request> {
--- a/crates/relay/tests/awake.rs
+++ b/crates/relay/tests/awake.rs
@@ -29,7 +29,7 @@
     relay.tick(1, false);
     let left = bergamot_registry::Upstream { state: State::Draining, ..upstream("i1", "a", &a) };
     relay.with_registry(|registry| registry.publish(left, Instant::now()));
-    relay.heard(Instant::now());
+    relay.note_store_update(Instant::now());
     let reply = response.await.expect("request task panicked");
     assert!(matches!(reply, Reply::Refused(refusal) if refusal.cause == Cause::NotRun));
     assert!(a.seen().is_empty());
@@ -44,9 +44,9 @@
     let before = Instant::now();
     std::thread::sleep(PAUSE);
     relay.tick(1, false);
-    relay.heard(before);
+    relay.note_store_update(before);
     assert!(relay.is_behind());
-    relay.heard(Instant::now());
+    relay.note_store_update(Instant::now());
     relay.tick(1, false);
     assert!(!relay.is_behind());
 }
@@ -69,7 +69,7 @@
         }
     });
     let reply = relay.handle(request("/one/")).await;
-    assert!(matches!(reply, Reply::Passed(_)), "{reply:?}");
+    assert!(matches!(reply, Reply::Forwarded(_)), "{reply:?}");
     relay.tick(1, false);
     assert!(!relay.is_behind());
     ticks.abort();
--- a/crates/relay/tests/fatal.rs
+++ b/crates/relay/tests/fatal.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use std::sync::Arc;
-use support::{gather, ok, record, relay, request, route, script, upstream, whole};
+use support::{gather, merged, ok, record, relay, request, route, script, upstream};
 
 /// The body of the fatal request.
 const FATAL: &[u8] = b"fatal";
@@ -87,10 +87,10 @@
     assert!(count_ended(&all) <= 5, "{} searchers ended", count_ended(&all));
     // A request that is no longer sent has not run.
     assert_eq!(last, Cause::NotRun);
-    let Reply::Passed(passed) = relay.handle(request("/q/")).await else {
+    let Reply::Forwarded(response) = relay.handle(request("/q/")).await else {
         panic!("expected other requests to be served");
     };
-    assert!(passed.status.is_success());
+    assert!(response.status.is_success());
 }
 
 #[tokio::test]
@@ -101,7 +101,7 @@
     let last = repeat_fatal_request(&relay).await;
     assert!(count_ended(&all) <= shards.len() + TRIALS, "{} searchers ended", count_ended(&all));
     assert_eq!(last, Cause::NotRun);
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (shards.len(), 0));
 }
 
@@ -116,7 +116,7 @@
     let last = repeat_fatal_request(&relay).await;
     assert!(count_ended(&all) <= 5, "{} searchers ended", count_ended(&all));
     assert_eq!(last, Cause::NotRun);
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (4, 0));
 }
 
@@ -130,7 +130,7 @@
     }
     let relay = relay_for(&all, gather(&["a", "b", "c", "d"], 1.0));
     for _ in 0..REPEATS {
-        let answer = whole(relay.handle(request("/q/")).await);
+        let answer = merged(relay.handle(request("/q/")).await);
         assert_eq!((answer.signatures.len(), answer.missing), (4, 0));
     }
 }
@@ -148,5 +148,5 @@
     assert!(refusal.cause == Cause::NotReady && refusal.retry_after.is_some());
     assert!(all[0].1.seen().is_empty());
     relay.quarantine().set_informed(true);
-    assert!(matches!(relay.handle(request("/q/")).await, Reply::Passed(_)));
+    assert!(matches!(relay.handle(request("/q/")).await, Reply::Forwarded(_)));
 }
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -9,11 +9,11 @@
 use bergamot_base::hash_bytes;
 use bergamot_declaration::Kind;
 use bergamot_registry::Upstream;
-use bergamot_relay::{Helper, Helping, Relay, Whole};
+use bergamot_relay::{DelegateMember, Helping, MergedResponse, Relay};
 use bergamot_standin::Script;
 use bergamot_wire::{Late, Quiet, Shard, ShardReply};
 use support::{
-    gather, incarnation, part, record, relay_with_members, request, route, upstream, whole,
+    gather, incarnation, merged, part, record, relay_with_members, request, route, upstream,
 };
 
 const MEMBER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 9);
@@ -53,8 +53,8 @@
     ];
     let routes = vec![route("/q/", Kind::Idempotent, gather(&["a", "b"], 0.5))];
     let relay = relay_with_members(helping, routes, upstreams);
-    let helper = |ip, zone: &str| Helper { ip, zone: zone.into(), region: zone.into() };
-    relay.set_helpers(vec![helper(MEMBER, "west"), helper(MEMBER, "east")]);
+    let helper = |ip, zone: &str| DelegateMember { ip, zone: zone.into(), region: zone.into() };
+    relay.set_delegate_members(vec![helper(MEMBER, "west"), helper(MEMBER, "east")]);
     relay
 }
 
@@ -71,7 +71,7 @@
     };
     let relay = relay(reply, Vec::new(), &west, &east);
     for _ in 0..5 {
-        let answer = whole(relay.handle(request("/q/")).await);
+        let answer = merged(relay.handle(request("/q/")).await);
         assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
     }
 }
@@ -83,7 +83,7 @@
     let shards = vec![silent, Shard::In(b"s2".to_vec())];
     let reply = ShardReply { shards, records: record(3), left_out: 0, rest: 0, quiet: Vec::new() };
     let relay = relay(reply, Vec::new(), &west, &east);
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
     assert!(west.seen().iter().all(|seen| seen.header("x-meant") != Some("a-west")));
 }
@@ -101,20 +101,20 @@
         ended: false,
     }];
     let relay = relay(reply, late, &west, &east);
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
     assert_eq!(&*answer.records, [record(9), record(5)].concat());
 }
 
 /// The member's reply holds only its greatest record. Whether more are needed depends on the other
 /// shard, for which the searcher in the east returns the record 2.
-async fn merge_with_left_out(first: u8, left_out: u64) -> Whole {
+async fn merge_with_left_out(first: u8, left_out: u64) -> MergedResponse {
     let (west, east) = (part(1).await, part(2).await);
     // Shard `a` has a silent searcher in the west and another one in the east.
     let shards = vec![Shard::Silent(incarnation("a-west")), Shard::In(b"s2".to_vec())];
     let reply = ShardReply { shards, records: record(first), left_out, rest: 0, quiet: Vec::new() };
     let relay = relay(reply, Vec::new(), &west, &east);
-    whole(relay.handle(request("/q/")).await)
+    merged(relay.handle(request("/q/")).await)
 }
 
 #[tokio::test]
@@ -146,8 +146,8 @@
     let quiet = vec![Quiet { index: 0, searcher, begins_ms: 0, ends_ms: 60_000 }];
     let reply = ShardReply { shards, records: record(9), left_out: 0, rest: 0, quiet };
     let relay = relay(reply, Vec::new(), &west, &east);
-    whole(relay.handle(request("/q/")).await);
+    merged(relay.handle(request("/q/")).await);
     assert!(east.seen().is_empty());
-    whole(relay.handle(request("/q/")).await);
+    merged(relay.handle(request("/q/")).await);
     assert!(east.seen().iter().any(|seen| seen.header("x-meant") == Some("a-east")));
 }
--- a/crates/relay/tests/many.rs
+++ b/crates/relay/tests/many.rs
@@ -7,7 +7,7 @@
 use bergamot_declaration::Kind;
 use bergamot_relay::{Cause, Reply};
 use bergamot_standin::Step;
-use support::{gather, not_run, ok, part, record, relay, request, route, script, upstream, whole};
+use support::{gather, merged, not_run, ok, part, record, relay, request, route, script, upstream};
 
 #[tokio::test]
 async fn the_greatest_records_of_all_shards_are_merged() {
@@ -15,7 +15,7 @@
     let upstreams = vec![upstream("i1", "a", &a), upstream("i2", "b", &b), upstream("i3", "c", &c)];
     let target = gather(&["a", "b", "c"], 1.0);
     let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!(&*answer.records, [record(9), record(5)].concat());
     let mut signatures: Vec<_> = answer.signatures.iter().map(|s| s.as_bytes().to_vec()).collect();
     signatures.sort();
@@ -34,7 +34,7 @@
     let target = gather(&["a", "b", "c"], 0.6);
     let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
     let started = Instant::now();
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 1));
     let took = started.elapsed();
     // The silent searcher has until the target of 400 ms, less the latency to the caller.
@@ -79,7 +79,7 @@
         vec![upstream("i1", "a", &a), upstream("i2", "b", &silent), upstream("i3", "b", &b)];
     let relay = relay(vec![route("/q/", Kind::Idempotent, gather(&["a", "b"], 1.0))], upstreams);
     for _ in 0..3 {
-        let answer = whole(relay.handle(request("/q/")).await);
+        let answer = merged(relay.handle(request("/q/")).await);
         assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
     }
 }
@@ -99,7 +99,7 @@
         vec![upstream("i1", "a", &a), upstream("i2", "b", &b), upstream("i3", "c", &slow)];
     let target = gather(&["a", "b", "c"], 0.6);
     let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
-    let answer = whole(relay.handle(request("/q/")).await);
+    let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 1));
     let cut = async {
         while slow.gone() == 0 {
--- a/crates/relay/tests/one.rs
+++ b/crates/relay/tests/one.rs
@@ -6,13 +6,13 @@
 
 use bergamot_declaration::{Kind, Target};
 use bergamot_registry::State;
-use bergamot_relay::{Cause, Passed, Refusal, Reply};
+use bergamot_relay::{Cause, Refusal, Reply, SearcherResponse};
 use bergamot_standin::{Seen, Step};
 use support::{not_run, ok, relay, reply, request, route, script, upstream};
 
-fn passed(reply: Reply) -> Passed {
+fn forwarded(reply: Reply) -> SearcherResponse {
     match reply {
-        Reply::Passed(passed) => passed,
+        Reply::Forwarded(response) => response,
         other => panic!("expected a response, got {other:?}"),
     }
 }
@@ -33,7 +33,7 @@
     let one = script(|seen| ok(seen, "sig", b"answer")).await;
     let relay =
         relay(vec![route("/a/", Kind::Idempotent, service())], vec![upstream("i1", "s", &one)]);
-    let answer = passed(relay.handle(request("/a/b?c=d")).await);
+    let answer = forwarded(relay.handle(request("/a/b?c=d")).await);
     assert_eq!((&*answer.body, answer.status.as_u16()), (&b"answer"[..], 200));
     assert_eq!(answer.headers["x-signature"], "sig");
     let seen = one.seen().remove(0);
@@ -59,7 +59,7 @@
     let upstreams = vec![upstream("i1", "s", &refusing), upstream("i2", "s", &good)];
     let relay = relay(vec![route("/a/", Kind::NonIdempotent, service())], upstreams);
     for _ in 0..4 {
-        assert_eq!(&*passed(relay.handle(request("/a/")).await).body, b"done");
+        assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"done");
     }
     assert_eq!(good.seen().len(), 4);
 }
@@ -102,7 +102,7 @@
         let upstreams = vec![upstream("i1", "s", &bad), upstream("i2", "s", &good)];
         let relay = relay(vec![route("/a/", Kind::Idempotent, service())], upstreams);
         for _ in 0..3 {
-            let answer = passed(relay.handle(request("/a/")).await);
+            let answer = forwarded(relay.handle(request("/a/")).await);
             assert_eq!(&*answer.body, b"whole", "{name}");
         }
     }
@@ -121,7 +121,7 @@
     for turn in 0..8 {
         let mut request = request("/a/");
         request.id = hyper::header::HeaderValue::from(turn);
-        assert_eq!(&*passed(relay.handle(request).await).body, b"right");
+        assert_eq!(&*forwarded(relay.handle(request).await).body, b"right");
         tokio::time::sleep(Duration::from_millis(7 * turn)).await;
     }
 }
@@ -136,7 +136,7 @@
     let one = script(move |seen| vec![unframed(seen), Step::Close]).await;
     let relay =
         relay(vec![route("/a/", Kind::NonIdempotent, service())], vec![upstream("i1", "s", &one)]);
-    assert_eq!(&*passed(relay.handle(request("/a/")).await).body, b"all of it");
+    assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"all of it");
 }
 
 #[tokio::test]
@@ -146,7 +146,7 @@
     let upstreams = vec![upstream("old", "s", &other), upstream("i2", "s", &good)];
     let relay = relay(vec![route("/a/", Kind::NonIdempotent, service())], upstreams);
     for _ in 0..6 {
-        assert_eq!(&*passed(relay.handle(request("/a/")).await).body, b"mine");
+        assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"mine");
     }
     assert!(other.seen().len() <= 1);
 }
@@ -158,7 +158,7 @@
     let one = script(failing).await;
     let relay =
         relay(vec![route("/a/", Kind::NonIdempotent, service())], vec![upstream("i1", "s", &one)]);
-    let answer = passed(relay.handle(request("/a/")).await);
+    let answer = forwarded(relay.handle(request("/a/")).await);
     assert_eq!((answer.status.as_u16(), &*answer.body), (500, &b"no"[..]));
 }
 
@@ -169,7 +169,7 @@
     let upstreams = vec![upstream("i1", "s", &silent), upstream("i2", "s", &good)];
     let relay = relay(vec![route("/a/", Kind::Idempotent, service())], upstreams);
     for _ in 0..4 {
-        assert_eq!(&*passed(relay.handle(request("/a/")).await).body, b"there");
+        assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"there");
     }
 }
 
@@ -201,7 +201,7 @@
         bergamot_registry::Upstream { state: State::Draining, ..upstream("i1", "s", &one) };
     relay.with_registry(|registry| registry.publish(draining, Instant::now()));
     for _ in 0..6 {
-        assert_eq!(&*passed(relay.handle(request("/a/")).await).body, b"two");
+        assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"two");
     }
     assert!(one.seen().is_empty());
 }
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -9,7 +9,7 @@
 use bergamot_registry::{Incarnation, Upstream};
 use bergamot_relay::{Cause, Relay, Reply};
 use bergamot_standin::{Script, Seen, Step};
-use support::{gather, ok, record, relay, request, route, script, upstream, whole};
+use support::{gather, merged, ok, record, relay, request, route, script, upstream};
 
 /// Searcher `i1` of service `s`, started at the given time in milliseconds.
 fn started_at(born: u64, at: &Script) -> Upstream {
@@ -31,7 +31,7 @@
 
 fn body(reply: Reply) -> Vec<u8> {
     match reply {
-        Reply::Passed(passed) => passed.body.to_vec(),
+        Reply::Forwarded(response) => response.body.to_vec(),
         other => panic!("expected a response, got {other:?}"),
     }
 }
@@ -138,5 +138,5 @@
     let response = tokio::spawn(async move { asked.handle(request("/g/")).await });
     tokio::time::sleep(Duration::from_millis(30)).await;
     publish(&relay, started_at(2, &next));
-    assert_eq!(whole(response.await.expect("request task panicked")).records.to_vec(), record(7));
+    assert_eq!(merged(response.await.expect("request task panicked")).records.to_vec(), record(7));
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -9,7 +9,10 @@
 use bergamot_declaration::{Declaration, Gather, Kind, Route, Service, Target};
 use bergamot_dispatch::Terms;
 use bergamot_registry::{Incarnation, State, Upstream};
-use bergamot_relay::{Ask, Dialect, Helping, Reading, Relay, Reply, Request, Settings, Whole};
+use bergamot_relay::{
+    Dialect, Helping, MergedResponse, Relay, Reply, Request, RequestMetadata, ResponseMetadata,
+    Settings,
+};
 use bergamot_standin::{Script, Seen, Step};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -17,18 +20,18 @@
 use hyper::{Method, StatusCode, Uri};
 
 /// The encoding used in tests.
-pub const DIALECT: Dialect = Dialect { ask, read };
+pub const DIALECT: Dialect = Dialect { write_request, read_response };
 
-fn ask(ask: &Ask<'_>, headers: &mut HeaderMap) {
-    headers.insert("x-id", ask.id.clone());
-    headers.insert("x-left", HeaderValue::from(ask.left.as_millis() as u64));
-    headers.insert("x-meant", ask.searcher.parse().expect("valid header value"));
+fn write_request(metadata: &RequestMetadata<'_>, headers: &mut HeaderMap) {
+    headers.insert("x-id", metadata.id.clone());
+    headers.insert("x-left", HeaderValue::from(metadata.remaining.as_millis() as u64));
+    headers.insert("x-meant", metadata.searcher.parse().expect("valid header value"));
 }
 
-fn read(parts: &Parts) -> Reading {
+fn read_response(parts: &Parts) -> ResponseMetadata {
     let header = |name| parts.headers.get(name).cloned();
     let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
-    Reading {
+    ResponseMetadata {
         id: header("x-id"),
         signature: header("x-signature"),
         not_run: misdirected || parts.headers.contains_key("x-not-run"),
@@ -113,7 +116,7 @@
 
 /// A relay that treats a gap of 600 ms between two ticks as a pause.
 pub fn relay_with_short_pause(routes: Vec<Route>, upstreams: Vec<Upstream>) -> Arc<Relay> {
-    let settings = Settings { pause: Duration::from_millis(600), ..Settings::default() };
+    let settings = Settings { pause_threshold: Duration::from_millis(600), ..Settings::default() };
     relay_with(&settings, no_members(), routes, upstreams)
 }
 
@@ -141,7 +144,7 @@
     let services = routes.iter().flat_map(|route| route.target.services());
     let services = services.map(|name| (Name::clone(name), Service { connections: 16 })).collect();
     let declaration = Declaration { version: 1, routes, services, ..Declaration::default() };
-    relay.declare(declaration.check().expect("invalid declaration"));
+    relay.apply_declaration(declaration.check().expect("invalid declaration"));
     for upstream in upstreams {
         relay.with_registry(|registry| registry.publish(upstream, Instant::now()));
     }
@@ -178,9 +181,9 @@
 }
 
 /// Unwraps a merged response.
-pub fn whole(reply: Reply) -> Whole {
+pub fn merged(reply: Reply) -> MergedResponse {
     match reply {
-        Reply::Whole(whole) => whole,
+        Reply::Merged(merged) => merged,
         other => panic!("expected a merged response, got {other:?}"),
     }
 }
