--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -1,9 +1,9 @@
-//! The loop that keeps the mirror up to date, through outages and forgotten history.
+//! The loop that keeps the mirror up to date through outages and lost history.
 //!
-//! Invariants: news is taken in the order of the store's positions; after forgotten history, and
-//! once the store was restored from a copy, everything is listed anew, so nothing that was missed
-//! stays unknown; an answer of an earlier era than the known one changes nothing; the sink hears of
-//! an outage or a restore before it hears anything that was published after it.
+//! Invariants: updates are applied in the order of the store's positions; after lost history or a
+//! restore of the store from a copy, everything is listed again, so no missed change stays unknown;
+//! a reply of an earlier era than the known one has no effect; the sink is notified of an outage or
+//! a restore before it receives anything published after it.
 
 mod member;
 mod store;
@@ -19,66 +19,68 @@
 use crate::clock::now;
 use crate::deliver::Delivery;
 use crate::fetch::Fetcher;
-use crate::members::{Members, Roster};
+use crate::members::{Members, Topology};
 use crate::mirror::{Change, Mirror};
-use crate::origin::{Duty, Failure, Origin, Origins};
-use crate::shared::{LARGE, STALE, Shared};
-use crate::sink::{Asked, Sink, Subject};
-use crate::source::{Source, Trouble};
+use crate::origin::{Failure, Origin, Origins, ReadRole};
+use crate::sink::{QueryKind, QueryReport, Sink};
+use crate::source::{QueryError, Source};
+use crate::state::{FeedState, LARGE_TRANSFER_BYTES, STALENESS_LIMIT};
 
 use self::member::Listing;
 
-/// The periods of the loop.
+/// Timing of the loop.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a watch waits.
+    /// How long a watch waits for changes.
     ///
-    /// A connection that went silent is noticed only after it, and news must be in force
-    /// within 3 s; each watch at the store is a call that is paid for.
-    pub wait: Duration,
-    /// How old a member's knowledge may be for it to be relied on.
-    pub stale: Duration,
-    /// How long the store may be silent, before an answer beyond the wait and midway.
+    /// A dead connection is noticed only after this time, and updates must be in force within 3 s;
+    /// on the other hand, each watch at the store is a metered call.
+    pub watch_wait: Duration,
+    /// The age up to which a member's state is relied on.
+    pub staleness_limit: Duration,
+    /// How long the store may send nothing, beyond the wait and while it sends a reply.
     ///
-    /// It answers in 4 ms; when it is slow, in some 250 ms.
-    pub silence: Duration,
-    /// How long a store that failed may be silent before it answers a question without a wait.
-    pub probe: Duration,
-    /// How long a reader waits after news before it asks the store for more.
+    /// It answers in 4 ms, or in some 250 ms when it is slow.
+    pub idle_timeout: Duration,
+    /// How long the store may send nothing before it answers a call without a wait, after a
+    /// failure.
+    pub probe_timeout: Duration,
+    /// How long a reader pauses after changes before it calls the store again.
     ///
-    /// Changes come in series, and each watch that ends is a call.
-    pub settle: Duration,
-    /// How long a start waits for word of who reads the store before it does so itself.
-    pub join: Duration,
-    /// How long the first question to a member may wait: the member reads the store, or will
-    /// in a moment.
-    pub first: Duration,
+    /// Changes come in bursts, and each watch that ends is a metered call.
+    pub pause_after_changes: Duration,
+    /// How long a starting member waits to learn which members read the store before it reads the
+    /// store itself.
+    pub startup_wait: Duration,
+    /// How long the first query to a member may wait: the member is reading the store or is about
+    /// to.
+    pub first_query_wait: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            wait: Duration::from_secs(1),
-            stale: STALE,
-            silence: Duration::from_millis(600),
-            probe: Duration::from_millis(400),
-            settle: Duration::from_millis(250),
-            join: Duration::from_millis(300),
-            first: Duration::from_millis(300),
+            watch_wait: Duration::from_secs(1),
+            staleness_limit: STALENESS_LIMIT,
+            idle_timeout: Duration::from_millis(600),
+            probe_timeout: Duration::from_millis(400),
+            pause_after_changes: Duration::from_millis(250),
+            startup_wait: Duration::from_millis(300),
+            first_query_wait: Duration::from_millis(300),
         }
     }
 }
 
-/// How long another member may have a later version of the declaration before it is asked for it:
-/// the usual way of news takes less.
-const BEHIND: Duration = Duration::from_millis(1500);
+/// How long another member may report a later declaration before this member requests it from
+/// there. Regular updates take less time.
+const ADOPTION_DELAY: Duration = Duration::from_millis(1500);
 
-/// Follows the store until `stop`.
+/// Follows the store until `stop` is cancelled.
 pub async fn follow(
     source: Source,
     members: Members,
     sink: Sink,
-    shared: Arc<Shared>,
+    shared: Arc<FeedState>,
     settings: Settings,
     stop: CancellationToken,
 ) {
@@ -90,13 +92,13 @@
         members,
         settings,
         origins: Origins::default(),
-        proven: None,
+        last_success: None,
         listing: None,
         bytes: 0,
-        crowded: false,
-        declared: None,
-        behind: None,
-        away: false,
+        read_newest_only: false,
+        declaration_changed_at: None,
+        behind_since: None,
+        store_away: false,
     };
     tokio::select! {
         () = stop.cancelled() => {}
@@ -110,157 +112,162 @@
     members: Arc<Members>,
     settings: Settings,
     origins: Origins,
-    /// Who helped last.
-    proven: Option<Origin>,
+    /// The origin of the last successful query.
+    last_success: Option<Origin>,
     listing: Option<Listing>,
-    /// How many bytes of records the question at hand has brought.
+    /// The bytes of records that the current query has returned.
     bytes: usize,
-    /// Whether versions of the declaration come faster than each of them should be read.
-    crowded: bool,
+    /// Whether declaration versions are published too fast to read each of them.
+    read_newest_only: bool,
     /// When the declaration last changed.
-    declared: Option<Instant>,
-    /// Since when another member has had a later version, or was last asked for it.
-    behind: Option<Instant>,
-    away: bool,
+    declaration_changed_at: Option<Instant>,
+    /// Since when another member has reported a later declaration, or when it was last requested.
+    behind_since: Option<Instant>,
+    store_away: bool,
 }
 
 impl Follower {
     async fn run(&mut self) {
-        self.join().await;
+        self.wait_for_topology().await;
         loop {
-            let Roster { duty, readers, fleet, .. } = (self.members.roster)().unwrap_or_default();
-            self.origins.set_fleet(fleet);
-            let duty = if self.is_wanted() { Duty::Reader } else { duty };
-            match self.origins.pick(now(), duty, &readers) {
-                Ok(origin) => self.ask(origin, duty).await,
+            let Topology { role, readers, member_count, .. } =
+                (self.members.topology)().unwrap_or_default();
+            self.origins.set_member_count(member_count);
+            let role = if self.has_waiting_callers() { ReadRole::Reader } else { role };
+            match self.origins.choose(now(), role, &readers) {
+                Ok(origin) => self.ask(origin, role).await,
                 Err(until) => tokio::time::sleep_until(until.into()).await,
             }
-            self.judge();
-            self.catch_up().await;
+            self.update_availability();
+            self.adopt_later_declaration().await;
         }
     }
 
-    /// Asks a member that has a later version of the declaration for it, if that goes on: a store
-    /// that was restored from a copy may lack it, and then no news brings it.
-    async fn catch_up(&mut self) {
+    /// Requests a later declaration from a member that has reported one for some time. A store that
+    /// was restored from a copy may lack that version, in which case regular updates never contain
+    /// it.
+    async fn adopt_later_declaration(&mut self) {
         let key = Name::clone(&self.delivery.source.declaration);
-        let version = self.shared().lock().get(&key).and_then(|item| item.version);
-        let Some(ip) = (self.members.ahead)(version.unwrap_or(0)) else {
-            self.behind = None;
+        let version = self.shared().mirror().get(&key).and_then(|item| item.version);
+        let Some(ip) = (self.members.find_newer)(version.unwrap_or(0)) else {
+            self.behind_since = None;
             return;
         };
-        let since = *self.behind.get_or_insert_with(now);
-        if now().duration_since(since) < BEHIND {
+        let since = *self.behind_since.get_or_insert_with(now);
+        if now().duration_since(since) < ADOPTION_DELAY {
             return;
         }
-        self.behind = Some(now());
-        match (self.members.record)(ip, key).await {
+        self.behind_since = Some(now());
+        match (self.members.fetch_record)(ip, key).await {
             Ok(Some(item)) => {
                 let later = item.version;
                 log::info!(
                     "feed: event=version_adopted member={ip} known={version:?} later={later:?}"
                 );
-                self.take(|mirror| mirror.adopt(item));
+                self.apply(|mirror| mirror.insert_if_newer(item));
             }
-            Ok(None) => log::info!("feed: event=adoption_failed member={ip} cause=\"it has none\""),
-            Err(trouble) => {
-                log::info!("feed: event=adoption_failed member={ip} cause=\"{trouble}\"");
+            Ok(None) => log::info!(
+                "feed: event=adoption_failed member={ip} cause=\"the member has no such record\""
+            ),
+            Err(error) => {
+                log::info!("feed: event=adoption_failed member={ip} cause=\"{error}\"");
             }
         }
     }
 
-    /// Waits a moment for word of who reads the store, so that not everybody does, unless
-    /// callers are here already.
-    async fn join(&self) {
-        /// How often the members are looked at meanwhile.
-        const LOOK: Duration = Duration::from_millis(20);
-        let end = now() + self.settings.join;
-        let unknown = || (self.members.roster)().is_none() && !self.is_wanted();
-        while unknown() && now() < end {
-            tokio::time::sleep(LOOK).await;
+    /// Waits briefly to learn which members read the store, so that not every starting member does,
+    /// unless callers are already waiting.
+    async fn wait_for_topology(&self) {
+        /// How often the roles are checked.
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
+        let deadline = now() + self.settings.startup_wait;
+        let unknown = || (self.members.topology)().is_none() && !self.has_waiting_callers();
+        while unknown() && now() < deadline {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Tells whether callers wait for the first news: then nothing is faster than the store.
-    fn is_wanted(&self) -> bool {
-        self.shared().lock().at().is_start() && (self.delivery.sink.wanted)()
+    /// Returns whether callers wait for the first update, in which case the store is the fastest
+    /// origin.
+    fn has_waiting_callers(&self) -> bool {
+        self.shared().mirror().position().is_start() && (self.delivery.sink.has_waiting_callers)()
     }
 
-    async fn ask(&mut self, origin: Origin, duty: Duty) {
-        let asked = now();
+    async fn ask(&mut self, origin: Origin, role: ReadRole) {
+        let started = now();
         self.bytes = 0;
         let result = match origin {
-            Origin::Store => self.ask_store(asked).await,
+            Origin::Store => self.ask_store(started).await,
             Origin::Member(ip) => self.ask_member(ip).await,
         };
         self.shared().arriving.store(false, Ordering::Relaxed);
-        self.note(origin, asked, result.as_ref().err());
+        self.report_query(origin, started, result.as_ref().err());
         match result {
             Ok(()) => {
-                self.origins.succeed(origin);
-                self.proven = Some(origin);
+                self.origins.record_success(origin);
+                self.last_success = Some(origin);
             }
-            Err(trouble) => {
-                self.proven = None;
+            Err(error) => {
+                self.last_success = None;
                 let jitter = rand::rng().random();
-                let failure = match trouble {
-                    Trouble::Stale { age: None } => Failure::Unheard,
-                    Trouble::Stale { .. } => Failure::Stale,
+                let failure = match error {
+                    QueryError::Stale { age: None } => Failure::NeverSynced,
+                    QueryError::Stale { .. } => Failure::Stale,
                     _ => Failure::Silent,
                 };
-                self.origins.fail((origin, failure), now(), duty, jitter);
+                self.origins.record_failure((origin, failure), now(), role, jitter);
             }
         }
     }
 
-    /// Logs and counts how a question ended.
-    fn note(&self, origin: Origin, at: Instant, trouble: Option<&Trouble>) {
+    /// Logs and reports the result of a query.
+    fn report_query(&self, origin: Origin, at: Instant, error: Option<&QueryError>) {
         let (bytes, took) = (self.bytes, at.elapsed().as_millis());
-        let label = trouble.map(Trouble::label);
-        let asked = Asked { origin, subject: Subject::News, at, bytes, trouble: label };
-        (self.delivery.sink.asked)(&asked);
-        if bytes >= LARGE {
-            let at = self.shared().lock().at();
+        let label = error.map(QueryError::label);
+        let report = QueryReport { origin, kind: QueryKind::News, at, bytes, error: label };
+        (self.delivery.sink.on_query_end)(&report);
+        if bytes >= LARGE_TRANSFER_BYTES {
+            let at = self.shared().mirror().position();
             log::info!(
                 "feed: event=large_news origin={origin:?} bytes={bytes} position={at} took_ms={took}"
             );
         }
-        if let Some(trouble) = trouble {
+        if let Some(error) = error {
             log::info!(
-                "feed: event=origin_failed origin={origin:?} took_ms={took} cause=\"{trouble}\""
+                "feed: event=origin_failed origin={origin:?} took_ms={took} cause=\"{error}\""
             );
         }
     }
 
-    fn take(&mut self, change: impl FnOnce(&mut Mirror) -> Change) {
-        let change = self.delivery.shared.change(change);
+    fn apply(&mut self, change: impl FnOnce(&mut Mirror) -> Change) {
+        let change = self.delivery.shared.apply(change);
         if let Some(former) = change.restored {
-            (self.delivery.sink.restored)(former, self.shared().lock().at());
+            (self.delivery.sink.on_restore)(former, self.shared().mirror().position());
         }
-        // The outage ends before what was published after it is taken in.
-        self.judge();
+        // The sink must see the end of an outage before anything published after it.
+        self.update_availability();
         if change.items.iter().any(|item| item.key == self.delivery.source.declaration) {
-            self.declared = Some(now());
+            self.declaration_changed_at = Some(now());
         }
         for item in change.items {
-            self.delivery.item(item);
+            self.delivery.deliver_item(item);
         }
     }
 
-    /// Tells the sink when the store was lost or regained.
-    fn judge(&mut self) {
-        let age = self.shared().lock().age(now());
-        let away = age.is_none_or(|age| age > self.settings.stale);
-        if away != self.away {
-            self.away = away;
+    /// Notifies the sink if the store has become unavailable or available again.
+    fn update_availability(&mut self) {
+        let age = self.shared().mirror().age(now());
+        let away = age.is_none_or(|age| age > self.settings.staleness_limit);
+        if away != self.store_away {
+            self.store_away = away;
             let change = if away { "lost" } else { "regained" };
             let age_ms = age.map_or("never".to_owned(), |age| age.as_millis().to_string());
             log::warn!("feed: event=store_{change} age_ms={age_ms}");
-            (self.delivery.sink.away)(away, age.unwrap_or_default());
+            (self.delivery.sink.on_store_away)(away, age.unwrap_or_default());
         }
     }
 
-    fn shared(&self) -> &Shared {
+    fn shared(&self) -> &FeedState {
         &self.delivery.shared
     }
 }
--- a/crates/feed/src/members.rs
+++ b/crates/feed/src/members.rs
@@ -1,4 +1,4 @@
-//! What the feed knows of other members, and how it asks them.
+//! What the feed knows about other members, and the callbacks that query them.
 
 use std::fmt;
 use std::net::Ipv4Addr;
@@ -8,79 +8,92 @@
 use bergamot_wire::{Item, News, NewsQuery};
 use futures::future::BoxFuture;
 
-use crate::origin::Duty;
-use crate::source::Trouble;
+use crate::origin::ReadRole;
+use crate::source::QueryError;
 
-/// A question to a member.
-pub type Question<T> = BoxFuture<'static, Result<T, Trouble>>;
+/// A pending query to a member.
+pub type QueryFuture<T> = BoxFuture<'static, Result<T, QueryError>>;
 
-/// Asks a member for news.
-pub type Asking = Box<dyn Fn(Ipv4Addr, NewsQuery) -> Question<News> + Send + Sync>;
+/// Queries a member for updates.
+pub type NewsQueryFn = Box<dyn Fn(Ipv4Addr, NewsQuery) -> QueryFuture<News> + Send + Sync>;
 
-/// Asks a member for chunks of large values, and how long it may wait for the first of them.
-pub type Fetching =
-    Box<dyn Fn(Ipv4Addr, Vec<u64>, Duration) -> Question<Vec<Vec<u8>>> + Send + Sync>;
+/// Queries a member for chunks of large values; the duration is how long the member may wait for
+/// the first of them.
+pub type ChunkQueryFn =
+    Box<dyn Fn(Ipv4Addr, Vec<u64>, Duration) -> QueryFuture<Vec<Vec<u8>>> + Send + Sync>;
 
-/// Who does what for the others' news.
+/// This member's role and the members it queries.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Roster {
-    /// What this member does.
-    pub duty: Duty,
-    /// The others that may know the newest, the preferred first.
+pub struct Topology {
+    /// The role of this member.
+    pub role: ReadRole,
+    /// Other members that may have the latest updates, in order of preference.
     pub readers: Vec<Ipv4Addr>,
-    /// The others that are asked for chunks, the preferred first.
-    pub lineage: Vec<Ipv4Addr>,
-    /// How many members there are.
-    pub fleet: usize,
+    /// Other members to query for chunks, in order of preference.
+    pub chunk_sources: Vec<Ipv4Addr>,
+    /// The number of members.
+    pub member_count: usize,
 }
 
-impl Roster {
-    /// Tells who does what before a member knows all others; nothing if it can't be told yet.
+impl Topology {
+    /// Returns what applies until this member knows all others, or `None` if that cannot be
+    /// determined yet.
     ///
-    /// The seeds read, since the settings of all name them: with a view of a few members each
-    /// takes itself for the first of them, and 295 that lost their power together listed the
-    /// store 293 times. Everybody else asks `seeds` that are there, or whoever is `fresh`.
-    pub fn early(
+    /// Seeds read the store, because every member's settings name the same ones. Choosing by an
+    /// incomplete view fails: each member that sees only a few others considers itself the first,
+    /// and 295 members that lost power together listed the store 293 times. All other members query
+    /// the seeds for which `is_reachable` holds, and the members in `up_to_date`.
+    pub fn bootstrap(
         own: Ipv4Addr,
         seeds: &[Ipv4Addr],
-        is_there: impl Fn(Ipv4Addr) -> bool,
-        fresh: Vec<Ipv4Addr>,
-        fleet: usize,
+        is_reachable: impl Fn(Ipv4Addr) -> bool,
+        up_to_date: Vec<Ipv4Addr>,
+        member_count: usize,
     ) -> Option<Self> {
-        if fresh.is_empty() && seeds.contains(&own) {
+        if up_to_date.is_empty() && seeds.contains(&own) {
             return None;
         }
-        let mut readers = fresh;
-        for seed in seeds.iter().copied().filter(|seed| *seed != own && is_there(*seed)) {
+        let mut readers = up_to_date;
+        for seed in seeds.iter().copied().filter(|seed| *seed != own && is_reachable(*seed)) {
             if !readers.contains(&seed) {
                 readers.push(seed);
             }
         }
-        let lineage = readers.clone();
-        (!readers.is_empty()).then_some(Self { duty: Duty::Follower, readers, lineage, fleet })
+        let chunk_sources = readers.clone();
+        (!readers.is_empty()).then_some(Self {
+            role: ReadRole::Follower,
+            readers,
+            chunk_sources,
+            member_count,
+        })
     }
 }
 
-impl Default for Roster {
-    /// The roster of a member that is alone.
+impl Default for Topology {
+    /// The state of a member without any others.
     fn default() -> Self {
-        Self { duty: Duty::Reader, readers: Vec::new(), lineage: Vec::new(), fleet: 1 }
+        Self {
+            role: ReadRole::Reader,
+            readers: Vec::new(),
+            chunk_sources: Vec::new(),
+            member_count: 1,
+        }
     }
 }
 
-/// What the feed knows of other members.
+/// Callbacks to other members.
 pub struct Members {
-    /// Tells who does what; nothing while it can't be told yet.
-    pub roster: Box<dyn Fn() -> Option<Roster> + Send + Sync>,
-    /// Asks a member for news.
-    pub ask: Asking,
-    /// Asks a member for chunks.
-    pub fetch: Fetching,
-    /// Names a member that has a later version of the declaration in force than this one, if any
-    /// says so.
-    pub ahead: Box<dyn Fn(Revision) -> Option<Ipv4Addr> + Send + Sync>,
-    /// Asks a member for the record of one key.
-    pub record: Box<dyn Fn(Ipv4Addr, Name) -> Question<Option<Item>> + Send + Sync>,
+    /// Returns the current roles, or `None` while they cannot be determined.
+    pub topology: Box<dyn Fn() -> Option<Topology> + Send + Sync>,
+    /// Queries a member for updates.
+    pub query_news: NewsQueryFn,
+    /// Queries a member for chunks.
+    pub fetch_chunks: ChunkQueryFn,
+    /// Returns a member that reports a later declaration version in force than the given one, if
+    /// any does.
+    pub find_newer: Box<dyn Fn(Revision) -> Option<Ipv4Addr> + Send + Sync>,
+    /// Queries a member for the record of one key.
+    pub fetch_record: Box<dyn Fn(Ipv4Addr, Name) -> QueryFuture<Option<Item>> + Send + Sync>,
 }
 
 impl fmt::Debug for Members {
--- a/crates/feed/tests/chunks.rs
+++ b/crates/feed/tests/chunks.rs
@@ -1,9 +1,9 @@
-//! Large values travel in chunks, down a tree of members.
+//! Chunked transfer of large values, and the tree of members along which chunks are distributed.
 
 use std::collections::HashMap;
 
 use bergamot_base::{Name, Position, hash_bytes};
-use bergamot_feed::{CHILDREN, Chunks, ancestors};
+use bergamot_feed::{Chunks, FANOUT, ancestors};
 use bergamot_wire::{Manifest, Rank, Value};
 use proptest::prelude::*;
 
@@ -12,13 +12,13 @@
 }
 
 fn cut(chunks: &mut Chunks, revision: u64, value: &[u8]) -> Manifest {
-    match chunks.cut(&Name::from("key"), rank(revision), value.to_vec()) {
+    match chunks.split(&Name::from("key"), rank(revision), value.to_vec()) {
         Value::Chunked(manifest) => manifest,
-        other => panic!("{other:?} is no large value"),
+        other => panic!("expected a chunked value, got {other:?}"),
     }
 }
 
-/// A declaration of so many routes, of which one is of a given name.
+/// Returns a declaration with the given number of routes, one of which may be changed.
 fn declaration(routes: usize, changed: Option<usize>) -> Vec<u8> {
     let route = |number: usize| {
         let name = hash_bytes(&number.to_le_bytes());
@@ -30,12 +30,12 @@
 
 #[test]
 fn small_values_travel_with_news() {
-    let value = Chunks::default().cut(&Name::from("key"), rank(1), vec![1; 200]);
+    let value = Chunks::default().split(&Name::from("key"), rank(1), vec![1; 200]);
     assert_eq!(value, Value::Inline(vec![1; 200]));
 }
 
-/// The next version of a declaration has one more route in its midst: a member that holds the
-/// version before asks for some kilobytes and not for half a megabyte.
+/// The next version of a declaration changes a route, or inserts one in the middle. A member with
+/// the previous version fetches some kilobytes instead of half a megabyte.
 #[test]
 fn a_changed_route_costs_a_few_chunks() {
     let (mut reader, mut follower) = (Chunks::default(), Chunks::default());
@@ -46,12 +46,12 @@
     for (revision, after) in [(2, declaration(2850, Some(1200))), (3, inserted.concat())] {
         let manifest = cut(&mut reader, revision, &after);
         let missing = follower.missing(&manifest);
-        let bytes: usize = reader.first(&missing, usize::MAX).iter().map(Vec::len).sum();
-        assert!(bytes < 40 << 10, "{bytes} of {}", after.len());
+        let bytes: usize = reader.select(&missing, usize::MAX).iter().map(Vec::len).sum();
+        assert!(bytes < 40 << 10, "fetched {bytes} of {} bytes", after.len());
     }
 }
 
-/// Only the chunks of the two last versions are held.
+/// Only the chunks of the latest two versions are kept.
 #[test]
 fn chunks_of_old_versions_are_dropped() {
     let mut chunks = Chunks::default();
@@ -62,29 +62,30 @@
     assert_eq!(held, [false, true, true]);
 }
 
-/// Guards against dropping the chunks of a newer version for those of one that is heard of later.
+/// Guards against dropping the chunks of a newer version in favour of an older one that arrives
+/// later.
 #[test]
 fn an_older_version_takes_no_place_of_a_newer_one() {
     let (mut chunks, key) = (Chunks::default(), Name::from("key"));
     let versions: Vec<Manifest> =
         (1..6).map(|byte| cut(&mut chunks, byte.into(), &vec![byte; 100 << 10])).collect();
     for (revision, manifest) in (1_u64..).zip(&versions) {
-        chunks.want(&key, rank(revision), manifest);
+        chunks.register(&key, rank(revision), manifest);
     }
     assert!(chunks.assemble(&versions[4]).is_some());
     cut(&mut chunks, 3, &vec![3; 100 << 10]);
     assert!(chunks.assemble(&versions[4]).is_some());
-    assert!(chunks.size() <= 200 << 10, "{} bytes are held", chunks.size());
+    assert!(chunks.size() <= 200 << 10, "{} bytes are stored", chunks.size());
 }
 
 #[test]
 fn chunks_that_nobody_named_are_not_held() {
     let mut chunks = Chunks::default();
-    assert!(!chunks.take(&[7; 100]));
-    assert!(chunks.first(&[hash_bytes(&[7; 100])], usize::MAX).is_empty());
+    assert!(!chunks.insert(&[7; 100]));
+    assert!(chunks.select(&[hash_bytes(&[7; 100])], usize::MAX).is_empty());
 }
 
-/// A manifest whose chunks are all there and make up another value gives none.
+/// A manifest whose chunks are all present but whose hash does not match is rejected.
 #[test]
 fn a_value_of_another_hash_is_refused() {
     let mut chunks = Chunks::default();
@@ -94,8 +95,8 @@
     assert!(chunks.assemble(&other).is_none());
 }
 
-/// In a region of any size each member asks another one that is nearer to the reader, none is
-/// asked by more than two, and the way from the reader is short.
+/// In a region of any size, each member queries one that is closer to the reader, no member has
+/// more than two children, and the path to the reader is short.
 #[test]
 fn no_member_is_the_parent_of_many() {
     for members in [1, 2, 25, 450_usize] {
@@ -109,14 +110,14 @@
                 *asked_by.entry(*parent).or_default() += 1;
             }
         }
-        assert!(asked_by.values().all(|children| *children <= CHILDREN));
+        assert!(asked_by.values().all(|children| *children <= FANOUT));
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A member that asks for what it lacks, some chunks at a time, ends with the value.
+    /// A member that fetches its missing chunks a few at a time ends up with the value.
     #[test]
     fn a_value_comes_in_whole(
         bytes in prop::collection::vec(any::<u8>(), 9_000..60_000),
@@ -127,12 +128,12 @@
         changed.insert(at.index(bytes.len()), 0);
         for (revision, value) in [(1_u64, bytes), (2, changed)] {
             let manifest = cut(&mut reader, revision, &value);
-            follower.want(&Name::from("key"), rank(revision), &manifest);
+            follower.register(&Name::from("key"), rank(revision), &manifest);
             while follower.assemble(&manifest).is_none() {
-                let bodies = reader.first(&follower.missing(&manifest), 1);
+                let bodies = reader.select(&follower.missing(&manifest), 1);
                 prop_assert!(!bodies.is_empty());
                 for body in bodies {
-                    prop_assert!(follower.take(&body));
+                    prop_assert!(follower.insert(&body));
                 }
             }
             prop_assert_eq!(follower.assemble(&manifest), Some(value));
--- a/crates/feed/tests/fetch.rs
+++ b/crates/feed/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! How chunks of large values come in when members can't help, or only with a part.
+//! Fetching chunks of large values when members cannot help, or only with some of the chunks.
 
 use std::net::Ipv4Addr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,8 +7,8 @@
 use bergamot_base::{Name, Position};
 use bergamot_declaration::Declaration;
 use bergamot_feed::{
-    Chunks, Duty, Found, Members, News, Record, Roster, Settings, Shared, Sink, Source, Trouble,
-    follow,
+    Chunks, FeedState, LookupReply, Members, QueryError, ReadRole, Record, RecordEvent, Settings,
+    Sink, Source, Topology, follow,
 };
 use bergamot_wire::Item;
 use tokio::sync::mpsc;
@@ -17,105 +17,104 @@
 const READER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const PARENT: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
-/// How long a value may take to come in, with room for a loaded machine.
-const SOON: Duration = Duration::from_secs(10);
+/// How long a value may take to arrive, with a margin for a loaded machine.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The large value; its first byte is the version.
+/// Returns the large value; its first byte is the version.
 fn value(version: u8) -> Vec<u8> {
     (0..30_000_u32).map(|i| if i == 0 { version } else { (i.wrapping_mul(i) >> 5) as u8 }).collect()
 }
 
-fn decode(record: &Record) -> Option<News> {
+fn decode(record: &Record) -> Option<RecordEvent> {
     let version = u64::from(*record.value.as_ref()?.first()?);
-    Some(News::Declared(Box::new(Declaration { version, ..Declaration::default() })))
+    Some(RecordEvent::Declared(Box::new(Declaration { version, ..Declaration::default() })))
 }
 
-/// What a member does when it is asked for chunks.
-type Answer = fn(&Chunks, Ipv4Addr, &[u64], usize) -> Result<Vec<Vec<u8>>, Trouble>;
+/// The reply of a member to a query for chunks.
+type ChunkReply = fn(&Chunks, Ipv4Addr, &[u64], usize) -> Result<Vec<Vec<u8>>, QueryError>;
 
-/// A member that hears of a large value from a reader, and whose questions for its chunks are
-/// answered by a function that is told how many came before.
-struct World {
-    /// The bytes of chunks that were sent to it, by whom.
+/// A member that learns of a large value from a reader. Its queries for chunks are answered by a
+/// function, which receives the number of earlier queries.
+struct Fixture {
+    /// The members that were queried, and the bytes of chunks that each query returned.
     sent: Arc<Mutex<Vec<(Ipv4Addr, usize)>>>,
     versions: mpsc::UnboundedReceiver<u64>,
     lookups: Arc<Mutex<usize>>,
     stop: CancellationToken,
 }
 
-impl World {
-    fn start(answer: Answer) -> Self {
-        let (heard, versions) = mpsc::unbounded_channel();
+impl Fixture {
+    fn start(answer: ChunkReply) -> Self {
+        let (version_sender, versions) = mpsc::unbounded_channel();
         let sent = Arc::<Mutex<Vec<(Ipv4Addr, usize)>>>::default();
         let lookups = Arc::<Mutex<usize>>::default();
         let mut held = Chunks::default();
         let key = Name::from("large");
         let item = Item {
-            value: held.cut(&key, Position::from(5).into(), value(7)),
+            value: held.split(&key, Position::from(5).into(), value(7)),
             key,
             position: 5.into(),
             version: None,
         };
-        let reader = Arc::new(Shared::default());
-        reader.lock().replace(vec![item], 5.into());
-        let (sending, held) = (Arc::clone(&sent), Arc::new(held));
+        let reader = Arc::new(FeedState::default());
+        reader.mirror().replace(vec![item], 5.into());
+        let (sent_by_fetch, held) = (Arc::clone(&sent), Arc::new(held));
         let members = Members {
-            roster: Box::new(|| {
-                let (readers, lineage) = (vec![READER], vec![PARENT, READER]);
-                Some(Roster { duty: Duty::Follower, readers, lineage, fleet: 3 })
+            topology: Box::new(|| {
+                let (readers, chunk_sources) = (vec![READER], vec![PARENT, READER]);
+                Some(Topology { role: ReadRole::Follower, readers, chunk_sources, member_count: 3 })
             }),
-            ask: Box::new(move |_ip, query| {
+            query_news: Box::new(move |_ip, query| {
                 let reader = Arc::clone(&reader);
-                reader.lock().refresh(std::time::Instant::now());
+                reader.mirror().mark_current(std::time::Instant::now());
                 Box::pin(async move { Ok(reader.news(query).await) })
             }),
-            fetch: Box::new(move |ip, hashes, _wait| {
-                let mut sent = sending.lock().unwrap_or_else(PoisonError::into_inner);
+            fetch_chunks: Box::new(move |ip, hashes, _wait| {
+                let mut sent = sent_by_fetch.lock().unwrap_or_else(PoisonError::into_inner);
                 let bodies = answer(&held, ip, &hashes, sent.len());
                 let bytes = bodies.iter().flatten().map(Vec::len).sum();
                 sent.push((ip, bytes));
                 Box::pin(async move { bodies })
             }),
-            ahead: Box::new(|_| None),
-            record: Box::new(|_, _| Box::pin(async { Err(Trouble::Silent) })),
+            find_newer: Box::new(|_| None),
+            fetch_record: Box::new(|_, _| Box::pin(async { Err(QueryError::Silent) })),
         };
-        let looking = Arc::clone(&lookups);
+        let lookup_count = Arc::clone(&lookups);
         let source = Source {
-            list: Box::new(|| Box::pin(async { Err(Trouble::Silent) })),
-            watch: Box::new(|_, _, _| Box::pin(async { Err(Trouble::Silent) })),
+            list: Box::new(|| Box::pin(async { Err(QueryError::Silent) })),
+            watch: Box::new(|_, _, _| Box::pin(async { Err(QueryError::Silent) })),
             lookup: Box::new(move |key| {
-                *looking.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+                *lookup_count.lock().unwrap_or_else(PoisonError::into_inner) += 1;
                 let (key, value) = (Name::clone(key), Some(value(9)));
                 let record = Some(Record { key, value, position: 8.into(), version: None });
-                Box::pin(async move { Ok(Found { record, era: 0 }) })
+                Box::pin(async move { Ok(LookupReply { record, era: 0 }) })
             }),
             declaration: Name::from("large"),
             decode,
         };
         let sink = Sink {
-            news: Box::new(move |news| {
-                if let News::Declared(declaration) = news {
-                    let _test_ended = heard.send(declaration.version);
+            on_record: Box::new(move |news| {
+                if let RecordEvent::Declared(declaration) = news {
+                    let _test_ended = version_sender.send(declaration.version);
                 }
             }),
-            away: Box::new(|_, _| {}),
-            restored: Box::new(|_, _| {}),
-            behind: Box::new(|| false),
-            wanted: Box::new(|| false),
-            asked: Box::new(|_| {}),
+            on_store_away: Box::new(|_, _| {}),
+            on_restore: Box::new(|_, _| {}),
+            was_suspended: Box::new(|| false),
+            has_waiting_callers: Box::new(|| false),
+            on_query_end: Box::new(|_| {}),
         };
-        let (shared, stop) = (Arc::new(Shared::default()), CancellationToken::new());
+        let (shared, stop) = (Arc::new(FeedState::default()), CancellationToken::new());
         tokio::spawn(follow(source, members, sink, shared, Settings::default(), stop.clone()));
         Self { sent, versions, lookups, stop }
     }
 
     async fn version(&mut self) -> u64 {
-        let version = tokio::time::timeout(SOON, self.versions.recv()).await;
+        let version = tokio::time::timeout(ARRIVAL_TIMEOUT, self.versions.recv()).await;
         self.stop.cancel();
-        version.expect("the value comes in").expect("the feed runs")
+        version.expect("the value arrives in time").expect("the feed is running")
     }
 
-    /// Returns who was asked how often, and how many bytes they sent.
     fn sent(&self) -> Vec<(Ipv4Addr, usize)> {
         self.sent.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -123,50 +122,47 @@
 
 #[tokio::test]
 async fn a_value_comes_from_the_parent_alone() {
-    let mut world = World::start(|held, _ip, hashes, _count| Ok(held.first(hashes, 16 << 10)));
-    assert_eq!(world.version().await, 7);
-    assert!(world.sent().iter().all(|(ip, _)| *ip == PARENT), "{:?}", world.sent());
+    let mut fixture = Fixture::start(|held, _ip, hashes, _count| Ok(held.select(hashes, 16 << 10)));
+    assert_eq!(fixture.version().await, 7);
+    assert!(fixture.sent().iter().all(|(ip, _)| *ip == PARENT), "{:?}", fixture.sent());
 }
 
-/// The parent goes silent after the first chunks: the others come from the next ancestor, and
-/// none of them twice.
+/// The parent stops answering after the first chunks. The remaining ones come from the next
+/// ancestor, and none is sent twice.
 #[tokio::test]
 async fn what_came_in_before_a_member_failed_is_kept() {
-    let mut world = World::start(|held, ip, hashes, count| {
-        if ip == PARENT && count > 0 { Err(Trouble::Silent) } else { Ok(held.first(hashes, 1)) }
+    let mut fixture = Fixture::start(|held, ip, hashes, count| {
+        if ip == PARENT && count > 0 { Err(QueryError::Silent) } else { Ok(held.select(hashes, 1)) }
     });
-    assert_eq!(world.version().await, 7);
-    let bytes: usize = world.sent().iter().map(|(_, bytes)| bytes).sum();
+    assert_eq!(fixture.version().await, 7);
+    let bytes: usize = fixture.sent().iter().map(|(_, bytes)| bytes).sum();
     assert_eq!(bytes, value(7).len());
-    assert_eq!(world.sent().iter().filter(|(ip, _)| *ip == PARENT).count(), 2);
+    assert_eq!(fixture.sent().iter().filter(|(ip, _)| *ip == PARENT).count(), 2);
 }
 
-/// A parent that waits for the chunks itself is no reason not to ask its own parent.
+/// A parent that is itself waiting for the chunks does not prevent a query to the next ancestor.
 #[tokio::test]
 async fn a_parent_that_lacks_chunks_is_passed_over() {
-    let mut world =
-        World::start(
-            |held, ip, hashes, _count| {
-                if ip == PARENT { Ok(Vec::new()) } else { Ok(held.first(hashes, 16 << 10)) }
-            },
-        );
-    assert_eq!(world.version().await, 7);
+    let mut fixture = Fixture::start(|held, ip, hashes, _count| {
+        if ip == PARENT { Ok(Vec::new()) } else { Ok(held.select(hashes, 16 << 10)) }
+    });
+    assert_eq!(fixture.version().await, 7);
 }
 
-/// Chunks that nobody asked for, whatever a member says they are, change nothing.
+/// Chunks that were not requested have no effect.
 #[tokio::test]
 async fn wrong_chunks_are_no_help() {
-    let mut world = World::start(|held, ip, hashes, _count| {
+    let mut fixture = Fixture::start(|held, ip, hashes, _count| {
         let wrong = vec![vec![0; 5000], Vec::new()];
-        if ip == PARENT { Ok(wrong) } else { Ok(held.first(hashes, 16 << 10)) }
+        if ip == PARENT { Ok(wrong) } else { Ok(held.select(hashes, 16 << 10)) }
     });
-    assert_eq!(world.version().await, 7);
+    assert_eq!(fixture.version().await, 7);
 }
 
-/// No member can help: the value is read from the store itself, where it is newer already.
+/// No member can help: the value is read from the store itself, which already has a newer one.
 #[tokio::test]
 async fn the_store_is_read_if_no_member_helps() {
-    let mut world = World::start(|_held, _ip, _hashes, _count| Err(Trouble::Silent));
-    assert_eq!(world.version().await, 9);
-    assert_eq!(*world.lookups.lock().unwrap_or_else(PoisonError::into_inner), 1);
+    let mut fixture = Fixture::start(|_held, _ip, _hashes, _count| Err(QueryError::Silent));
+    assert_eq!(fixture.version().await, 9);
+    assert_eq!(*fixture.lookups.lock().unwrap_or_else(PoisonError::into_inner), 1);
 }
