--- a/crates/members/src/homes.rs
+++ b/crates/members/src/homes.rs
@@ -1,17 +1,17 @@
-//! Which gathers home which cells: rendezvous hashing with bounded loads.
+//! Placement of cells on gathers: rendezvous hashing with bounded loads.
 //!
-//! Every daemon computes the homes of all cells from the document's layout and its
-//! own view of the members. Cells take turns in a fixed order; each takes the
-//! members of the highest weights that have not reached their cap and whose zone has
-//! not reached its part. The cap is the mean number of cells a member, rounded up.
+//! Each daemon computes the homes of all cells from the document's layout and its own view of the
+//! members. Cells are assigned in a fixed order. Each cell takes the members of the highest weights
+//! that are below the load cap and whose zone is below its per-cell limit. The load cap is the mean
+//! number of cells a member, rounded up.
 //!
-//! Members that can't be reached keep their place, so that the homes don't grow on both
-//! sides of a partition. Where too few homes of a cell can be reached, the reachable
-//! members of the next weights stand in for them. Invariant: the same layout and the
-//! same members give the same homes in every process; a cell's homes are distinct; and
-//! with `s` parts that can't reach each other, where `s` is at most the number of
-//! regions, a cell has at most `2 * homes` homes and stand-ins over all parts, which is
-//! what the shares leave room for (docs/design/0002-homes-and-cells.md).
+//! Unreachable members stay in the placement, so that homes are not added on both sides of a
+//! network partition. If too few homes of a cell are reachable, the reachable members of the next
+//! weights serve the cell as stand-ins. Invariant: the same layout and members give the same homes
+//! in every process; the homes of a cell are distinct; and if the fleet is partitioned into `s`
+//! parts, where `s` is at most the number of regions, a cell has at most `2 * homes` homes and
+//! stand-ins over all parts, for which the connection shares leave room
+//! (docs/design/0002-homes-and-cells.md).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -28,7 +28,7 @@
     cells: Table<Cell, Vec<Endpoint>>,
 }
 
-/// A gather as the computation sees it.
+/// The properties of a gather that determine its placement.
 struct Member {
     endpoint: Endpoint,
     hash: u64,
@@ -36,13 +36,13 @@
     reachable: bool,
 }
 
-/// The members in the order of their weights for one cell.
+/// The members in the order of their rendezvous weights for one cell, highest first.
 type Ranking = Vec<(Reverse<u64>, usize)>;
 
 impl Homes {
-    /// Computes the homes from a layout and the gathers that keep their place.
+    /// Computes the homes from a layout and the gathers in the placement.
     ///
-    /// `regions` is the number of regions, the parts into which the fleet may fall.
+    /// `regions` is the number of regions, and the maximum number of partitions to allow for.
     pub fn compute<'a>(
         layout: &Layout,
         regions: usize,
@@ -55,7 +55,7 @@
         let zones = 1 + members.iter().map(|member| member.zone).max().unwrap_or(0);
         let cap = (layout.cells.len() * layout.homes).div_ceil(members.len());
         let zone_cap = layout.homes.div_ceil(zones);
-        let fewest = (layout.homes / regions.saturating_sub(1).max(1)).max(1);
+        let min_reachable = (layout.homes / regions.saturating_sub(1).max(1)).max(1);
         let mut loads = vec![0; members.len()];
         let mut ranking = Ranking::with_capacity(members.len());
         let cells = layout
@@ -63,13 +63,13 @@
             .keys()
             .map(|cell| {
                 rank(cell, &members, &mut ranking);
-                let room = |member: usize| loads[member] < cap;
-                let mut chosen = choose(&ranking, &members, layout.homes, zone_cap, room);
-                for member in &chosen {
+                let has_capacity = |member: usize| loads[member] < cap;
+                let mut selected = select(&ranking, &members, layout.homes, zone_cap, has_capacity);
+                for member in &selected {
                     loads[*member] += 1;
                 }
-                stand_in(&ranking, &members, fewest, &mut chosen);
-                chosen.into_iter().map(|member| members[member].endpoint).collect()
+                add_stand_ins(&ranking, &members, min_reachable, &mut selected);
+                selected.into_iter().map(|member| members[member].endpoint).collect()
             })
             .collect();
         Self { cells }
@@ -80,9 +80,9 @@
         self.cells.get(cell).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the homes of a cell in the order in which a service's work prefers them.
+    /// Returns the homes of a cell in order of preference for a service's requests.
     ///
-    /// All work of a service passes the first home, whose queues know the searchers'
+    /// All requests of a service go through its first home, whose queues track the searchers'
     /// slots; different services prefer different homes.
     pub fn order(&self, cell: Cell, service: Service) -> Vec<Endpoint> {
         let mut order = self.of(cell).to_vec();
@@ -91,7 +91,7 @@
         order
     }
 
-    /// Returns the cells that a member homes.
+    /// Returns the cells of which a member is a home.
     pub fn cells_of(&self, member: Endpoint) -> Vec<Cell> {
         let homed = self.cells.iter().filter(|(_, homes)| homes.contains(&member));
         homed.map(|(cell, _)| cell).collect()
@@ -103,7 +103,7 @@
     }
 }
 
-/// Makes the members with their zones numbered in the order of the names.
+/// Converts records to members, with zones numbered in the order of their names.
 fn number_zones(records: &[&Record]) -> Vec<Member> {
     let names: BTreeSet<&Name> = records.iter().map(|record| &record.zone).collect();
     let numbers: HashMap<&Name, usize> = names.iter().enumerate().map(|(i, n)| (*n, i)).collect();
@@ -123,44 +123,50 @@
     ranking.sort_unstable();
 }
 
-/// Takes the best members with room within the parts of their zones, then any with room.
-fn choose(
+/// Selects the highest-ranked members that have capacity and are within their zone's limit, then
+/// any others that have capacity.
+fn select(
     ranking: &Ranking,
     members: &[Member],
     wanted: usize,
     zone_cap: usize,
-    room: impl Fn(usize) -> bool,
+    has_capacity: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
     let mut used = HashMap::<usize, usize>::new();
-    let mut chosen = Vec::with_capacity(wanted);
-    let mut passed = Vec::new();
+    let mut selected = Vec::with_capacity(wanted);
+    let mut skipped = Vec::new();
     for (_, member) in ranking {
-        if chosen.len() == wanted {
+        if selected.len() == wanted {
             break;
         }
-        if !room(*member) {
+        if !has_capacity(*member) {
             continue;
         }
         let count = used.entry(members[*member].zone).or_default();
         if *count < zone_cap {
             *count += 1;
-            chosen.push(*member);
+            selected.push(*member);
         } else {
-            passed.push(*member);
+            skipped.push(*member);
         }
     }
-    chosen.extend(passed.into_iter().take(wanted - chosen.len()));
-    chosen
+    selected.extend(skipped.into_iter().take(wanted - selected.len()));
+    selected
 }
 
-/// Adds reachable members until `fewest` of the homes can be reached.
-fn stand_in(ranking: &Ranking, members: &[Member], fewest: usize, chosen: &mut Vec<usize>) {
-    let reachable = chosen.iter().filter(|member| members[**member].reachable).count();
-    let wanted = fewest.saturating_sub(reachable);
+/// Adds stand-ins until at least `min_reachable` of the selected members are reachable.
+fn add_stand_ins(
+    ranking: &Ranking,
+    members: &[Member],
+    min_reachable: usize,
+    selected: &mut Vec<usize>,
+) {
+    let reachable = selected.iter().filter(|member| members[**member].reachable).count();
+    let wanted = min_reachable.saturating_sub(reachable);
     let others = ranking.iter().map(|(_, member)| *member);
-    let others = others.filter(|member| members[*member].reachable && !chosen.contains(member));
-    let more: Vec<usize> = others.take(wanted).collect();
-    chosen.extend(more);
+    let others = others.filter(|member| members[*member].reachable && !selected.contains(member));
+    let stand_ins: Vec<usize> = others.take(wanted).collect();
+    selected.extend(stand_ins);
 }
 
 impl fmt::Display for Homes {
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,12 +1,12 @@
-//! Membership, probing, homes of cells and address answers.
+//! Membership, failure detection, placement of cells and address lists.
 //!
-//! Daemons find each other through seeds or the platform's lagging list, and keep track of
-//! each other by probing, news and comparisons of their views ([`Membership`]), with a bounded
-//! number of messages a period whatever the size of the fleet. The [`View`] that results decides which gathers
-//! home a cell ([`Homes`]), which members read the configuration service
-//! ([`readers`]) and which entries callers are sent to ([`addresses`]). All of it is
-//! pure: time, events and random draws go in, messages and decisions come out. See
-//! `docs/design/0007-membership.md`.
+//! Daemons discover each other through seeds or the platform's eventually consistent instance list.
+//! They track each other by probing, gossip and anti-entropy comparison of their views
+//! ([`Membership`]); the number of messages a period is bounded whatever the fleet's size. From the
+//! resulting [`View`] each daemon computes which gathers are the homes of a cell ([`Homes`]), which
+//! members read the configuration service ([`readers`]) and which entries callers are sent to
+//! ([`addresses`]). The crate does no I/O: time, events and random numbers are inputs, messages and
+//! decisions are outputs. See `docs/design/0007-membership.md`.
 
 mod address;
 mod homes;
--- a/crates/members/src/membership.rs
+++ b/crates/members/src/membership.rs
@@ -1,12 +1,12 @@
-//! One member's part in the membership: what it knows, whom it probes, what it tells.
+//! The membership protocol of one member.
 //!
-//! A member that starts asks a seed for some members, compares its view with theirs, and
-//! pushes the word that it is there. From then on it probes ([`Prober`]), passes news on
-//! ([`Rumours`]) and compares views that differ ([`Sync`]). All of it travels in datagrams,
-//! each of which may be lost. Time, events and random draws go in, messages come out.
-//! Invariants: nobody but a member itself says that it is alive after it was doubted; a
-//! member that is taken for alive is suspected, and may refute, before it counts as
-//! unreachable, whatever others say of it. See `docs/design/0013-views-that-agree.md`.
+//! A starting member asks a seed for some members, compares its view with theirs, and gossips its
+//! own record. From then on it probes ([`Prober`]), gossips updates ([`Rumours`]) and compares
+//! views that differ ([`Sync`]). All messages are datagrams, any of which may be lost. Time, events
+//! and random numbers are inputs; messages are outputs. Invariants: only a member itself can
+//! declare that it is alive after it was suspected; and a member considered alive is suspected, and
+//! can refute that, before it is considered unreachable, whatever other members report. See
+//! `docs/design/0013-views-that-agree.md`.
 
 mod sending;
 
@@ -20,49 +20,50 @@
 use crate::message::{Datagram, Digest, Kind, Summary};
 use crate::prober::{Prober, Timing};
 use crate::record::{Endpoint, Record, State};
-use crate::rumour::{Reach, Rumour, Rumours};
+use crate::rumour::{Rumour, Rumours, Scope};
 use crate::sync::{self, Sync};
 use crate::view::{Listed, View};
 
-/// How many others are asked to ping a silent member.
-const HELPERS: usize = 3;
+/// The number of members that are asked to ping a member that did not acknowledge.
+const INDIRECT_PROBES: usize = 3;
 
-/// How many members hear at once of a new revision.
-const FANOUT: usize = 4;
+/// The number of members to which a new revision is announced directly.
+const ANNOUNCE_FANOUT: usize = 4;
 
-/// How soon a seed is asked again, at first, that isn't known to be alive: one that starts at
-/// the same moment may be the only way to those that asked it.
-const JOIN: Duration = Duration::from_millis(100);
+/// The initial interval between join requests to seeds that are not known to be alive. A seed that
+/// starts at the same moment may be the only link between the members that ask it.
+const MIN_JOIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often such a seed is asked after a while: it may have been replaced, or be the only way
-/// to the other part of a fleet that was split.
-const LONGEST_JOIN: Duration = Duration::from_secs(2);
+/// The maximum interval between join requests. A seed may have been replaced, or may be the only
+/// link to the other side of a network partition.
+const MAX_JOIN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a member that hears of nobody waits until it takes itself for the only one: the
-/// others of a fleet that loses its power are back within some seconds of each other, and a
-/// seed that lives answers within two of these times.
-const ALONE: Duration = Duration::from_secs(1);
+/// How long a member that hears from no other waits until it considers itself the only one. After
+/// the whole fleet has lost power, members return within a few seconds of each other, and a live
+/// seed answers within two of these periods.
+const SOLE_MEMBER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a view may stay unsettled: a member whose datagrams get lost has to do with what it
-/// knows in the end.
-const UNSETTLED: Duration = Duration::from_secs(3);
+/// The time after which the view counts as converged in any case: a member whose datagrams are lost
+/// has to work with what it knows.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long the word of others counts on how many members there are: some probes.
-const TOLD: Duration = Duration::from_secs(2);
+/// How long the number of members that another member stated remains valid: some probe periods.
+const STATED_SIZE_LIFETIME: Duration = Duration::from_secs(2);
 
-/// The part of the fleet's size, as others tell it, that a settled view must hold.
-const SETTLED: f64 = 0.9;
+/// The fraction of the fleet's size, as stated by other members, that a converged view must hold.
+const CONVERGED_FRACTION: f64 = 0.9;
 
-/// How long a member that can't be reached is remembered: splits last for minutes.
-const FORGET: Duration = Duration::from_hours(1);
+/// How long the record of a member that does not accept work is kept; network partitions last for
+/// minutes.
+const RECORD_RETENTION: Duration = Duration::from_hours(1);
 
-/// How many changes are kept for whoever asks for them.
-const MOST_CHANGED: usize = 1024;
+/// The maximum number of state changes kept for [`Membership::take_changed`].
+const MAX_STATE_CHANGES: usize = 1024;
 
-/// How many reports on requests are kept for whoever asks for them.
-const MOST_REPORTS: usize = 1024;
+/// The maximum number of reports kept for [`Membership::take_reports`].
+const MAX_REPORTS: usize = 1024;
 
-/// A datagram and where it goes.
+/// A datagram and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The receiver.
@@ -71,13 +72,13 @@
     pub datagram: Datagram,
 }
 
-/// How a record was heard of.
+/// How a record was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Heard {
-    /// As news, from the member itself or another one: it is pushed on.
-    News(Reach),
-    /// From a member that knew what was lacking here.
-    Told,
+enum Source {
+    /// As gossip, or from the member itself: it is gossiped further.
+    Gossip(Scope),
+    /// From a member that sent it because it was missing here: it is not gossiped further.
+    Comparison,
 }
 
 /// One member's part in the membership.
@@ -91,25 +92,25 @@
     sync: Sync,
     seeds: Vec<Endpoint>,
     next_seed: usize,
-    join_at: Instant,
-    join_again: Duration,
-    leaving: Vec<Rumour>,
-    /// What others said of requests since it was last asked for.
+    next_join: Instant,
+    join_interval: Duration,
+    leaving_searchers: Vec<Rumour>,
+    /// The reports received since [`Membership::take_reports`] was last called.
     reports: Vec<Report>,
-    /// What changed since it was last asked for.
-    changed: Vec<(Endpoint, State)>,
+    /// The state changes since [`Membership::take_changed`] was last called.
+    state_changes: Vec<(Endpoint, State)>,
     started: Instant,
-    /// Whether the view was once whole, as far as others could tell.
-    settled: bool,
-    heard: bool,
-    /// The largest fleet that others told of lately, and when.
-    told: Option<(Instant, u32)>,
-    /// When members that take no work are forgotten.
-    forget: BTreeMap<Endpoint, Instant>,
+    /// Whether the view has been complete at some time, as far as other members could tell.
+    converged: bool,
+    heard_from_others: bool,
+    /// The largest number of members that others stated recently, and when.
+    stated_size: Option<(Instant, u32)>,
+    /// When to remove the records of members that do not accept work.
+    removals: BTreeMap<Endpoint, Instant>,
 }
 
 impl Membership {
-    /// Starts a run. `seeds` may be down, and may name this member itself.
+    /// Creates the state of a member that starts. `seeds` may be down, and may include this member.
     pub fn new(
         now: Instant,
         timing: Timing,
@@ -120,7 +121,7 @@
         let mut view = View::default();
         view.apply(&me);
         let mut rumours = Rumours::default();
-        rumours.add(now, Rumour::Member(me.clone()), Reach::Everywhere);
+        rumours.add(now, Rumour::Member(me.clone()), Scope::AllZones);
         let next_seed = rng.random_range(0..seeds.len().max(1));
         Self {
             me,
@@ -131,136 +132,140 @@
             sync: Sync::new(),
             seeds,
             next_seed,
-            join_at: now,
-            join_again: JOIN,
-            leaving: Vec::new(),
+            next_join: now,
+            join_interval: MIN_JOIN_INTERVAL,
+            leaving_searchers: Vec::new(),
             reports: Vec::new(),
-            changed: Vec::new(),
+            state_changes: Vec::new(),
             started: now,
-            settled: false,
-            heard: false,
-            told: None,
-            forget: BTreeMap::new(),
+            converged: false,
+            heard_from_others: false,
+            stated_size: None,
+            removals: BTreeMap::new(),
         }
     }
 
-    /// Returns the report about this run.
+    /// Returns the record of this member.
     pub fn me(&self) -> &Record {
         &self.me
     }
 
-    /// Returns what is known of all members.
+    /// Returns the view of all members.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Tells whether the view was whole once in this run, as far as others could tell.
+    /// Returns whether the view has been complete at some time since the start, as far as other
+    /// members could tell.
     ///
-    /// Before that, what follows from the number of members isn't decided by it.
+    /// Until then, decisions that depend on the number of members must not rely on it.
     pub fn is_settled(&self, now: Instant) -> bool {
-        let time = self.age(now);
-        self.settled || time >= UNSETTLED || (!self.heard && time >= ALONE)
+        let age = self.age(now);
+        self.converged
+            || age >= CONVERGENCE_TIMEOUT
+            || (!self.heard_from_others && age >= SOLE_MEMBER_TIMEOUT)
     }
 
-    /// Returns how long ago this run started.
+    /// Returns the time since this member started.
     pub(crate) fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 
-    /// Returns how many members there are, as far as it is known or others tell.
+    /// Returns the number of members, as far as this or other members know.
     pub fn size(&self, now: Instant) -> usize {
-        let told = self.told.filter(|(at, _)| now.saturating_duration_since(*at) < TOLD);
-        self.view.count_working().max(told.map_or(0, |(_, told)| told as usize))
+        let stated = self
+            .stated_size
+            .filter(|(at, _)| now.saturating_duration_since(*at) < STATED_SIZE_LIFETIME);
+        self.view.count_working().max(stated.map_or(0, |(_, stated)| stated as usize))
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, now: Instant, seeds: Vec<Endpoint>) {
         self.seeds = seeds;
-        self.join_at = now;
-        self.join_again = JOIN;
+        self.next_join = now;
+        self.join_interval = MIN_JOIN_INTERVAL;
     }
 
-    /// Takes in the platform's list of instances.
+    /// Applies the platform's list of instances.
     pub fn apply_list(&mut self, now: Instant, list: &[Listed]) {
         for record in self.view.apply_list(list) {
-            self.rumours.add(now, Rumour::Member(record), Reach::Zone);
+            self.rumours.add(now, Rumour::Member(record), Scope::Zone);
         }
     }
 
-    /// Passes news on.
+    /// Gossips a rumour to all zones.
     pub fn spread(&mut self, now: Instant, rumour: Rumour) {
-        self.rumours.add(now, rumour, Reach::Everywhere);
+        self.rumours.add(now, rumour, Scope::AllZones);
     }
 
-    /// Takes in reports that a member told in an exchange of another kind.
+    /// Merges records received outside of datagrams; they are not gossiped.
     pub fn learn_all(&mut self, now: Instant, records: &[Record]) {
         for record in records {
-            self.learn(now, record, Heard::Told);
+            self.merge(now, record, Source::Comparison);
         }
     }
 
-    /// Changes the state of this run for good and returns the farewells to send.
+    /// Moves this member to a final state and returns the datagrams that announce it.
     pub fn farewell(&mut self, now: Instant, state: State, digest: Digest) -> Vec<Outgoing> {
         self.me.state = self.me.state.max(state);
-        self.say(now);
+        self.gossip_self(now);
         let mut out = self.announce(digest);
         self.push(now, digest, &mut out);
         out
     }
 
-    /// Returns datagrams that tell a few members at once what is in force.
+    /// Returns datagrams that announce the digest to a few members.
     pub fn announce(&mut self, digest: Digest) -> Vec<Outgoing> {
-        let targets = self.sample(FANOUT, |_| true);
+        let targets = self.sample(ANNOUNCE_FANOUT, |_| true);
         targets.into_iter().map(|to| self.probe_datagram(to, Kind::News, digest)).collect()
     }
 
-    /// Returns how much news is still passed on.
+    /// Returns the number of rumours that are still gossiped.
     pub fn rumours(&self) -> usize {
         self.rumours.len()
     }
 
-    /// Picks members to ask for what they have in force.
+    /// Returns a random sample of members from which to request their active state.
     pub fn peers(&mut self, count: usize) -> Vec<Endpoint> {
         self.sample(count, |_| true)
     }
 
     /// Returns the searchers that peers reported as leaving since the last call.
     pub fn take_leaving(&mut self) -> Vec<Rumour> {
-        std::mem::take(&mut self.leaving)
+        std::mem::take(&mut self.leaving_searchers)
     }
 
-    /// Returns what peers said of requests under which searchers ended since the last call.
+    /// Returns the reports on requests that crash searchers received since the last call.
     pub fn take_reports(&mut self) -> Vec<Report> {
         std::mem::take(&mut self.reports)
     }
 
-    /// Passes on, in the own zone, news that another member has told.
+    /// Gossips, within the local zone, a rumour that was received from another member.
     pub fn pass_on(&mut self, now: Instant, rumour: Rumour) {
-        self.rumours.add(now, rumour, Reach::Zone);
+        self.rumours.add(now, rumour, Scope::Zone);
     }
 
-    /// Returns the members whose state changed since the last call, the first of them if they
-    /// are many.
+    /// Returns the state changes since the last call, limited to the first [`MAX_STATE_CHANGES`].
     pub fn take_changed(&mut self) -> Vec<(Endpoint, State)> {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.state_changes)
     }
 
-    /// Tells when [`Membership::tick`] has something to do.
+    /// Returns when [`Membership::tick`] is to be called next.
     pub fn due(&self) -> Instant {
-        let others = [self.rumours.push_due(), self.sync.due(self.settled), self.next_forgotten()];
-        others.into_iter().flatten().fold(self.prober.due().min(self.join_at), Instant::min)
+        let others = [self.rumours.push_due(), self.sync.due(self.converged), self.next_removal()];
+        others.into_iter().flatten().fold(self.prober.due().min(self.next_join), Instant::min)
     }
 
-    /// Does what is due.
+    /// Runs the timers that have expired and returns the datagrams to send.
     pub fn tick(&mut self, now: Instant, digest: Digest) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        self.join(now, digest, &mut out);
-        self.ask_helpers(now, digest, &mut out);
+        self.send_join(now, digest, &mut out);
+        self.request_indirect_probes(now, digest, &mut out);
         self.expire_suspects(now);
-        self.forget(now);
-        if self.prober.is_due(now) {
-            if let Some(silent) = self.prober.end_period(now) {
-                self.suspect(now, silent);
+        self.remove_expired(now);
+        if self.prober.is_period_over(now) {
+            if let Some(unresponsive) = self.prober.end_period(now) {
+                self.suspect(now, unresponsive);
             }
             if let Some((number, to)) = self.prober.ping(now, &self.me, &self.view, &mut self.rng) {
                 out.push(self.probe_datagram(to, Kind::Ping(number), digest));
@@ -269,117 +274,121 @@
         if self.rumours.push_due().is_some_and(|due| due <= now) {
             self.push(now, digest, &mut out);
         }
-        if self.sync.due(self.settled).is_some_and(|due| due <= now)
-            && let Some(peer) = self.sync.begin(now, self.view.changes(), self.settled)
+        if self.sync.due(self.converged).is_some_and(|due| due <= now)
+            && let Some(peer) = self.sync.start(now, self.view.changes(), self.converged)
         {
-            let peer = if self.settled { peer } else { self.any_other().unwrap_or(peer) };
+            let peer = if self.converged { peer } else { self.comparison_peer().unwrap_or(peer) };
             let summary = Summary(*self.view.ranges());
             out.push(self.datagram(peer, Kind::Compare(Box::new(summary)), digest, Vec::new()));
         }
         out
     }
 
-    /// Takes in a datagram and returns the answers to it.
+    /// Handles a datagram and returns the answers to it.
     pub fn receive(&mut self, now: Instant, datagram: &Datagram, digest: Digest) -> Vec<Outgoing> {
         let from = datagram.from.endpoint;
         if from == self.me.endpoint {
             return Vec::new();
         }
-        self.heard = true;
-        let reach = Heard::News(Reach::Zone);
-        self.learn(now, &datagram.from, reach);
-        let how = if datagram.kind == Kind::Tell { Heard::Told } else { reach };
+        self.heard_from_others = true;
+        let gossip = Source::Gossip(Scope::Zone);
+        self.merge(now, &datagram.from, gossip);
+        let source = if datagram.kind == Kind::Tell { Source::Comparison } else { gossip };
         let mut outdated = Vec::new();
         for rumour in &datagram.rumours {
             match rumour {
-                Rumour::Member(record) => outdated.extend(self.learn(now, record, how)),
-                Rumour::Leaving { .. } => self.leaving.push(rumour.clone()),
-                Rumour::Suspicion(report) if self.reports.len() < MOST_REPORTS => {
+                Rumour::Member(record) => outdated.extend(self.merge(now, record, source)),
+                Rumour::Leaving { .. } => self.leaving_searchers.push(rumour.clone()),
+                Rumour::Suspicion(report) if self.reports.len() < MAX_REPORTS => {
                     self.reports.push(report.clone());
                 }
-                // Whoever asked for none of them so far asks for none at all.
+                // The buffer is full only if the caller never takes the reports.
                 Rumour::Suspicion(_) => {}
             }
         }
-        self.compare(now, from, &datagram.digest);
+        self.compare_digest(now, from, &datagram.digest);
         let mut out = self.answer(datagram, digest);
         if !outdated.is_empty() {
-            out.extend(self.tell(from, &outdated, digest));
+            out.extend(self.record_datagrams(from, &outdated, digest));
         }
         out
     }
 
-    /// Answers what a datagram asks for.
+    /// Returns the answers that a datagram requires.
     fn answer(&mut self, datagram: &Datagram, digest: Digest) -> Vec<Outgoing> {
         let from = datagram.from.endpoint;
         match &datagram.kind {
             Kind::Ping(number) => vec![self.probe_datagram(from, Kind::Ack(*number), digest)],
             Kind::Ack(number) => {
-                let passed = self.prober.acknowledged(*number);
-                let pass =
+                let relayed = self.prober.handle_ack(*number);
+                let forward =
                     |(origin, number)| self.probe_datagram(origin, Kind::Ack(number), digest);
-                passed.map(pass).into_iter().collect()
+                relayed.map(forward).into_iter().collect()
             }
             Kind::Ask(number, target) => {
-                let own = self.prober.relay(from, *number);
-                vec![self.probe_datagram(*target, Kind::Ping(own), digest)]
+                let sequence = self.prober.relay_ping(from, *number);
+                vec![self.probe_datagram(*target, Kind::Ping(sequence), digest)]
             }
             Kind::News | Kind::Tell => Vec::new(),
             Kind::Join => {
-                let some = sync::some(&self.view, &datagram.from, &mut self.rng);
-                self.tell(from, &some, digest)
+                let sample = sync::sample_for_join(&self.view, &datagram.from, &mut self.rng);
+                self.record_datagrams(from, &sample, digest)
             }
-            Kind::Compare(summary) => match sync::differing(&self.view, summary, &mut self.rng) {
-                Some(prints) => {
-                    vec![self.datagram(from, Kind::Differ(prints), digest, Vec::new())]
+            Kind::Compare(summary) => {
+                match sync::differing_hashes(&self.view, summary, &mut self.rng) {
+                    Some(hashes) => {
+                        vec![self.datagram(from, Kind::Differ(hashes), digest, Vec::new())]
+                    }
+                    None => self.record_datagrams(from, &[], digest),
                 }
-                None => self.tell(from, &[], digest),
-            },
-            Kind::Differ(prints) => {
-                let (told, wanted) = sync::lacking(&self.view, prints, &mut self.rng);
+            }
+            Kind::Differ(hashes) => {
+                let (missing, wanted) = sync::missing_records(&self.view, hashes, &mut self.rng);
                 let mut out = Vec::new();
-                if !told.is_empty() {
-                    out = self.tell(from, &told, digest);
+                if !missing.is_empty() {
+                    out = self.record_datagrams(from, &missing, digest);
                 }
                 if !wanted.prints.is_empty() {
                     out.push(self.datagram(from, Kind::Want(wanted), digest, Vec::new()));
                 }
                 out
             }
-            Kind::Want(prints) => {
-                let told = sync::wanted(&self.view, prints, &mut self.rng);
-                self.tell(from, &told, digest)
+            Kind::Want(hashes) => {
+                let requested = sync::requested_records(&self.view, hashes, &mut self.rng);
+                self.record_datagrams(from, &requested, digest)
             }
         }
     }
 
-    /// Compares what a member takes for alive with what is here.
-    fn compare(&mut self, now: Instant, peer: Endpoint, theirs: &Digest) {
-        let same = theirs.view == self.view.hash();
-        self.sync.see(now, peer, theirs.view, self.view.hash());
-        let recent = |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) < TOLD;
-        let told = self.told.filter(recent).map_or(0, |(_, told)| told);
-        if theirs.members >= told {
-            self.told = Some((now, theirs.members));
+    /// Compares a peer's digest of its view with the local view.
+    fn compare_digest(&mut self, now: Instant, peer: Endpoint, digest: &Digest) {
+        let same = digest.view == self.view.hash();
+        self.sync.record_hash(now, peer, digest.view, self.view.hash());
+        let recent =
+            |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) < STATED_SIZE_LIFETIME;
+        let stated = self.stated_size.filter(recent).map_or(0, |(_, stated)| stated);
+        if digest.members >= stated {
+            self.stated_size = Some((now, digest.members));
         }
         let known = self.view.count_working() as f64;
-        if same && known >= SETTLED * f64::from(told.max(theirs.members)) {
-            self.settled = true;
+        if same && known >= CONVERGED_FRACTION * f64::from(stated.max(digest.members)) {
+            self.converged = true;
         }
     }
 
-    /// Takes in one report; refutes it where it is a false one about this run.
+    /// Merges one record; refutes it if it is a false one about this member.
     ///
-    /// Returns what is known here of a member that the report takes for alive and that isn't.
-    fn learn(&mut self, now: Instant, record: &Record, how: Heard) -> Option<Record> {
+    /// If the record states that a member accepts work and a newer one here contradicts it, returns
+    /// the local record.
+    fn merge(&mut self, now: Instant, record: &Record, source: Source) -> Option<Record> {
         if record.endpoint == self.me.endpoint {
             self.refute(now, record);
             return None;
         }
         let known = self.view.get(record.endpoint);
         let record = match known {
-            Some(known) if condemns(record, known) => {
-                // It may refute: whoever says so may have been cut off from it.
+            Some(known) if reports_unreachable(record, known) => {
+                // The member can still refute: the reporter may have been partitioned from it.
                 &Record { state: State::Suspect, ..record.clone() }
             }
             _ => record,
@@ -389,23 +398,23 @@
             let is_outdated = record.state.takes_work() && !known.state.takes_work();
             return is_outdated.then(|| known.clone());
         }
-        self.note(now, record);
-        if let Heard::News(reach) = how {
-            self.rumours.add(now, Rumour::Member(record.clone()), reach);
+        self.update_timers(now, record);
+        if let Source::Gossip(scope) = source {
+            self.rumours.add(now, Rumour::Member(record.clone()), scope);
         }
         None
     }
 
-    /// Keeps the times up to date that hang on a member's state.
-    fn note(&mut self, now: Instant, record: &Record) {
-        self.prober.note(now, record);
-        if self.changed.len() < MOST_CHANGED {
-            self.changed.push((record.endpoint, record.state));
+    /// Updates the timers that depend on a member's state.
+    fn update_timers(&mut self, now: Instant, record: &Record) {
+        self.prober.update_suspicion(now, record);
+        if self.state_changes.len() < MAX_STATE_CHANGES {
+            self.state_changes.push((record.endpoint, record.state));
         }
         if record.state.takes_work() {
-            self.forget.remove(&record.endpoint);
+            self.removals.remove(&record.endpoint);
         } else {
-            self.forget.insert(record.endpoint, now + FORGET);
+            self.removals.insert(record.endpoint, now + RECORD_RETENTION);
         }
     }
 
@@ -416,48 +425,49 @@
         if record.incarnation == self.me.incarnation {
             self.me.counter = record.counter + 1;
         } else {
-            // A predecessor whose clock was ahead numbered itself after us; nobody would
-            // believe this run until it has a later number.
+            // An earlier process, whose clock was ahead, used a higher incarnation. Other members
+            // ignore this process until its incarnation is higher still.
             self.me.incarnation = record.incarnation + 1;
         }
-        self.say(now);
+        self.gossip_self(now);
     }
 
-    /// Tells everybody the news about this run.
-    fn say(&mut self, now: Instant) {
+    /// Gossips the record of this member.
+    fn gossip_self(&mut self, now: Instant) {
         self.view.apply(&self.me);
-        self.rumours.add(now, Rumour::Member(self.me.clone()), Reach::Everywhere);
+        self.rumours.add(now, Rumour::Member(self.me.clone()), Scope::AllZones);
     }
 
-    /// Asks a seed that isn't known to be alive.
-    fn join(&mut self, now: Instant, digest: Digest, out: &mut Vec<Outgoing>) {
-        if now < self.join_at {
+    /// Sends a join request to a seed that is not known to be alive, if one is due.
+    fn send_join(&mut self, now: Instant, digest: Digest, out: &mut Vec<Outgoing>) {
+        if now < self.next_join {
             return;
         }
-        self.join_at = now + self.join_again;
-        let alone = self.view.count_working() <= 1;
-        self.join_again = if alone { JOIN } else { LONGEST_JOIN.min(self.join_again * 2) };
+        self.next_join = now + self.join_interval;
+        let is_sole = self.view.count_working() <= 1;
+        self.join_interval =
+            if is_sole { MIN_JOIN_INTERVAL } else { MAX_JOIN_INTERVAL.min(self.join_interval * 2) };
         let is_known = |seed: &Endpoint| {
             *seed == self.me.endpoint
                 || self.view.get(*seed).is_some_and(|known| known.state.takes_work())
         };
-        let unknown = (0..self.seeds.len())
-            .map(|turn| (self.next_seed + turn) % self.seeds.len())
+        let target = (0..self.seeds.len())
+            .map(|offset| (self.next_seed + offset) % self.seeds.len())
             .find(|seed| !is_known(&self.seeds[*seed]));
-        if let Some(seed) = unknown {
+        if let Some(seed) = target {
             self.next_seed = seed + 1;
             let to = self.seeds[seed];
             out.push(self.datagram(to, Kind::Join, digest, Vec::new()));
         }
     }
 
-    fn ask_helpers(&mut self, now: Instant, digest: Digest, out: &mut Vec<Outgoing>) {
-        let Some((number, target)) = self.prober.unanswered(now) else {
+    fn request_indirect_probes(&mut self, now: Instant, digest: Digest, out: &mut Vec<Outgoing>) {
+        let Some((number, target)) = self.prober.take_overdue_ping(now) else {
             return;
         };
-        let helpers = self.sample(HELPERS, |record| record.endpoint != target);
-        for helper in helpers {
-            out.push(self.probe_datagram(helper, Kind::Ask(number, target), digest));
+        let peers = self.sample(INDIRECT_PROBES, |record| record.endpoint != target);
+        for peer in peers {
+            out.push(self.probe_datagram(peer, Kind::Ask(number, target), digest));
         }
     }
 
@@ -466,38 +476,38 @@
             return;
         };
         let suspicion = Record { state: State::Suspect, ..known.clone() };
-        self.learn(now, &suspicion, Heard::News(Reach::Everywhere));
+        self.merge(now, &suspicion, Source::Gossip(Scope::AllZones));
     }
 
-    /// Counts suspects as unreachable that did not refute in time. Nobody needs to be told: who
-    /// heard of the suspicion does the same.
+    /// Marks suspects that did not refute in time as unreachable. This is not gossiped, since every
+    /// member that received the suspicion does the same.
     fn expire_suspects(&mut self, now: Instant) {
-        for endpoint in self.prober.expired(now) {
+        for endpoint in self.prober.take_expired_suspects(now) {
             let Some(known) = self.view.get(endpoint) else {
                 continue;
             };
             if known.state == State::Suspect {
                 let unreachable = Record { state: State::Unreachable, ..known.clone() };
                 self.view.apply(&unreachable);
-                self.note(now, &unreachable);
+                self.update_timers(now, &unreachable);
             }
         }
     }
 
-    fn next_forgotten(&self) -> Option<Instant> {
-        self.forget.values().min().copied()
+    fn next_removal(&self) -> Option<Instant> {
+        self.removals.values().min().copied()
     }
 
-    fn forget(&mut self, now: Instant) {
-        let over = |until: &Instant| now >= *until;
-        for (endpoint, _) in self.forget.extract_if(.., |_, until| over(until)) {
+    fn remove_expired(&mut self, now: Instant) {
+        let expired = |removal: &Instant| now >= *removal;
+        for (endpoint, _) in self.removals.extract_if(.., |_, removal| expired(removal)) {
             self.view.forget(endpoint);
         }
     }
 }
 
-/// Tells whether a report counts a run as unreachable that is taken for alive or suspect here.
-fn condemns(report: &Record, known: &Record) -> bool {
+/// Returns whether a record reports as unreachable an incarnation that is alive or suspect here.
+fn reports_unreachable(report: &Record, known: &Record) -> bool {
     report.state == State::Unreachable
         && known.state.takes_work()
         && known.incarnation == report.incarnation
--- a/crates/members/src/membership/sending.rs
+++ b/crates/members/src/membership/sending.rs
@@ -1,5 +1,5 @@
-//! What a member sends to whom: pushes of news, records that others lack, probes with news on
-//! their back.
+//! Construction of outgoing datagrams and choice of their receivers: pushes of gossip, records that
+//! others lack, and probes with piggybacked gossip.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -12,100 +12,113 @@
 use super::{Membership, Outgoing};
 use crate::message::{Datagram, Digest, Kind};
 use crate::record::{Endpoint, Record, State};
-use crate::rumour::{PER_DATAGRAM, Reach, Rumour};
+use crate::rumour::{PER_DATAGRAM, Rumour, Scope};
 
-/// To how many members of the own zone news is pushed: all but one in twenty are reached if
-/// each pushes on, and comparisons find the others.
-const PUSH_NEAR: usize = 3;
+/// The number of members of the local zone to which rumours are pushed. If each pushes on, all but
+/// one in twenty are reached; comparisons of views reach the others.
+const LOCAL_PUSH_FANOUT: usize = 3;
 
-/// To how many members of each other zone news is pushed; one may be gone.
-const PUSH_FAR: usize = 2;
+/// The number of members of each other zone to which rumours are pushed; one of them may be gone.
+const REMOTE_PUSH_FANOUT: usize = 2;
 
-/// One comparison in so many of a member that starts is with one of another zone.
-const COMPARE_FAR: u32 = 4;
+/// One of this many comparisons of a starting member is with a member of another zone.
+const REMOTE_COMPARE_PERIOD: u32 = 4;
 
-/// The most reports on requests in a datagram: of some 90 bytes each, so that they fit one packet.
+/// The maximum number of reports on requests in a datagram. At about 90 bytes each, they fit one
+/// packet.
 const REPORTS_PER_DATAGRAM: usize = 10;
 
 impl Membership {
-    /// Makes the datagrams that tell a member reports that it may lack.
+    /// Returns datagrams with the reports on requests that a member may lack.
     pub fn inform(&self, to: Endpoint, reports: Vec<Report>, digest: Digest) -> Vec<Outgoing> {
         let rumours: Vec<Rumour> = reports.into_iter().map(Rumour::Suspicion).collect();
-        let told = rumours.chunks(REPORTS_PER_DATAGRAM);
-        told.map(|rumours| self.datagram(to, Kind::Tell, digest, rumours.to_vec())).collect()
+        let chunks = rumours.chunks(REPORTS_PER_DATAGRAM);
+        chunks.map(|rumours| self.datagram(to, Kind::Tell, digest, rumours.to_vec())).collect()
     }
 
-    /// Pushes what is new, in one datagram each, to a few of the own zone, and what began here
-    /// to a few of each other zone.
+    /// Pushes new rumours, in one datagram for each receiver: all of them to a few members of the
+    /// local zone, and those that originate here to a few of each other zone.
     pub(super) fn push(&mut self, now: Instant, digest: Digest, out: &mut Vec<Outgoing>) {
         if self.view.count_working() <= 1 {
-            self.rumours.push_later(now);
+            self.rumours.postpone_push(now);
             return;
         }
-        let news = self.rumours.push();
-        if news.is_empty() {
+        let pushes = self.rumours.take_pushes();
+        if pushes.is_empty() {
             return;
         }
-        let begun = news.iter().filter(|(reach, _)| *reach == Reach::Everywhere);
-        let begun: Vec<Rumour> = begun.map(|(_, rumour)| rumour.clone()).collect();
-        let all: Vec<Rumour> = news.into_iter().map(|(_, rumour)| rumour).collect();
+        let originated = pushes.iter().filter(|(scope, _)| *scope == Scope::AllZones);
+        let originated: Vec<Rumour> = originated.map(|(_, rumour)| rumour.clone()).collect();
+        let all: Vec<Rumour> = pushes.into_iter().map(|(_, rumour)| rumour).collect();
         let zone = Name::clone(&self.me.zone);
-        for to in self.sample(PUSH_NEAR, |record| record.zone == zone) {
+        for to in self.sample(LOCAL_PUSH_FANOUT, |record| record.zone == zone) {
             out.push(self.datagram(to, Kind::News, digest, all.clone()));
         }
-        if begun.is_empty() {
+        if originated.is_empty() {
             return;
         }
-        for to in self.some_of_other_zones() {
-            out.push(self.datagram(to, Kind::News, digest, begun.clone()));
+        for to in self.sample_other_zones() {
+            out.push(self.datagram(to, Kind::News, digest, originated.clone()));
         }
     }
 
-    /// Picks a few members of each other zone.
-    pub(super) fn some_of_other_zones(&mut self) -> Vec<Endpoint> {
+    /// Returns a random sample of members of each other zone.
+    pub(super) fn sample_other_zones(&mut self) -> Vec<Endpoint> {
         let mut zones = BTreeMap::<&Name, Vec<Endpoint>>::new();
         for record in self.view.working().filter(|record| record.zone != self.me.zone) {
             zones.entry(&record.zone).or_default().push(record.endpoint);
         }
         let rng = &mut self.rng;
-        let few =
-            |members: Vec<Endpoint>| members.sample(rng, PUSH_FAR).copied().collect::<Vec<_>>();
-        zones.into_values().flat_map(few).collect()
+        let sample = |members: Vec<Endpoint>| {
+            members.sample(rng, REMOTE_PUSH_FANOUT).copied().collect::<Vec<_>>()
+        };
+        zones.into_values().flat_map(sample).collect()
     }
 
-    /// Picks a member to compare views with, mostly one of the own zone.
+    /// Returns a random member to compare views with, mostly one of the local zone.
     ///
-    /// While a fleet starts all views differ, and everybody has heard of the seeds first: if each
-    /// compared with whom it heard last, a seed would send 2.8 MB a second at 300 members.
-    pub(super) fn any_other(&mut self) -> Option<Endpoint> {
+    /// While a fleet starts, all views differ, and every member heard from the seeds first. If each
+    /// compared with the member it heard from last, a seed would send 2.8 MB a second at 300
+    /// members.
+    pub(super) fn comparison_peer(&mut self) -> Option<Endpoint> {
         let zone = Name::clone(&self.me.zone);
-        let far = self.rng.random_ratio(1, COMPARE_FAR);
-        let picked = self.sample(1, |record| (record.zone == zone) != far);
+        let remote = self.rng.random_ratio(1, REMOTE_COMPARE_PERIOD);
+        let picked = self.sample(1, |record| (record.zone == zone) != remote);
         picked.first().copied().or_else(|| self.sample(1, |_| true).first().copied())
     }
 
-    /// Picks members that take work, this one left out.
-    pub(super) fn sample(&mut self, count: usize, may: impl Fn(&Record) -> bool) -> Vec<Endpoint> {
+    /// Returns a random sample of the other members that accept work and satisfy a predicate.
+    pub(super) fn sample(
+        &mut self,
+        count: usize,
+        predicate: impl Fn(&Record) -> bool,
+    ) -> Vec<Endpoint> {
         let me = self.me.endpoint;
-        let others = self.view.working().filter(|record| record.endpoint != me && may(record));
+        let others =
+            self.view.working().filter(|record| record.endpoint != me && predicate(record));
         let others: Vec<_> = others.map(|record| record.endpoint).collect();
         others.sample(&mut self.rng, count).copied().collect()
     }
 
-    /// Makes the datagrams that tell a member records, one at the least.
-    pub(super) fn tell(&self, to: Endpoint, records: &[Record], digest: Digest) -> Vec<Outgoing> {
+    /// Returns datagrams that carry records to a member: at least one, even without records.
+    pub(super) fn record_datagrams(
+        &self,
+        to: Endpoint,
+        records: &[Record],
+        digest: Digest,
+    ) -> Vec<Outgoing> {
         let rumours = |records: &[Record]| records.iter().cloned().map(Rumour::Member).collect();
         if records.is_empty() {
             return vec![self.datagram(to, Kind::Tell, digest, Vec::new())];
         }
-        let told = records.chunks(PER_DATAGRAM);
-        told.map(|records| self.datagram(to, Kind::Tell, digest, rumours(records))).collect()
+        let chunks = records.chunks(PER_DATAGRAM);
+        chunks.map(|records| self.datagram(to, Kind::Tell, digest, rumours(records))).collect()
     }
 
-    /// Makes a datagram that carries news on its back.
+    /// Returns a datagram with piggybacked rumours.
     pub(super) fn probe_datagram(&mut self, to: Endpoint, kind: Kind, digest: Digest) -> Outgoing {
-        let far = self.view.get(to).is_some_and(|known| known.zone != self.me.zone);
-        let rumours = self.rumours.take(self.view.len(), far);
+        let remote = self.view.get(to).is_some_and(|known| known.zone != self.me.zone);
+        let rumours = self.rumours.take_piggybacked(self.view.len(), remote);
         self.datagram(to, kind, digest, rumours)
     }
 
@@ -118,10 +131,10 @@
     ) -> Outgoing {
         let members = self.view.count_working() as u32;
         let digest = Digest { view: self.view.hash(), members, ..digest };
-        // A member that is doubted must hear of it whenever it is spoken to, also long
-        // after the rumour has died down; else it could never refute.
-        if let Some(doubted) = self.view.get(to).filter(|known| known.state != State::Alive) {
-            rumours.insert(0, Rumour::Member(doubted.clone()));
+        // A member that is not alive in the local view is sent its record in every datagram, also
+        // long after the rumour has expired; otherwise it could never refute a suspicion.
+        if let Some(record) = self.view.get(to).filter(|known| known.state != State::Alive) {
+            rumours.insert(0, Rumour::Member(record.clone()));
         }
         Outgoing { to, datagram: Datagram { kind, from: self.me.clone(), digest, rumours } }
     }
--- a/crates/members/src/message.rs
+++ b/crates/members/src/message.rs
@@ -1,4 +1,4 @@
-//! The control datagrams between members.
+//! Control datagrams between members.
 
 use bergamot_base::Revision;
 use serde::{Deserialize, Serialize};
@@ -8,25 +8,25 @@
 use crate::rumour::Rumour;
 use crate::view::RANGES;
 
-/// What a sender has in force, so that both sides of any exchange notice who is behind.
+/// A summary of the sender's state, from which the receiver detects which of the two is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The revision of the document in force.
+    /// The revision of the active document.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The hash of that document.
+    /// The hash of the active document.
     #[serde(rename = "h")]
     pub hash: u64,
-    /// The hash of the members that the sender takes for alive.
+    /// The hash of the sender's view of available members.
     #[serde(rename = "v")]
     pub view: u64,
-    /// How many members the sender takes for alive.
+    /// The number of available members in the sender's view.
     #[serde(rename = "m", default)]
     pub members: u32,
-    /// Whether the sender knows the newest of what is published.
+    /// Whether the sender has the latest published state.
     #[serde(rename = "n", default)]
     pub fresh: bool,
-    /// The hash of what the sender holds of requests under which searchers ended, zero for nothing.
+    /// The hash of the sender's reports on requests that crash searchers; zero if it has none.
     #[serde(rename = "q", default, skip_serializing_if = "is_zero")]
     pub suspicions: u64,
 }
@@ -36,34 +36,34 @@
     *number == 0
 }
 
-/// The purpose of a datagram.
+/// The type of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Asks for an acknowledgement with the same number.
+    /// Requests an acknowledgement with the same sequence number.
     #[serde(rename = "p")]
     Ping(u64),
-    /// Acknowledges a ping.
+    /// Acknowledges the ping with this sequence number.
     #[serde(rename = "a")]
     Ack(u64),
-    /// Asks the receiver to ping a member in the sender's stead.
+    /// Requests an indirect probe: the receiver pings the endpoint on the sender's behalf.
     #[serde(rename = "q")]
     Ask(u64, Endpoint),
-    /// Carries news and asks for nothing.
+    /// Carries gossip; requires no answer.
     #[serde(rename = "n")]
     News,
-    /// Asks a seed for some members.
+    /// Requests some members from a seed.
     #[serde(rename = "j")]
     Join,
-    /// Asks the receiver to compare its view with the sender's.
+    /// Starts a comparison of views: carries the sender's range hashes.
     #[serde(rename = "c")]
     Compare(Box<Summary>),
-    /// Says what the sender knows in ranges in which the views differ.
+    /// Carries the hashes of the sender's records in ranges in which the views differ.
     #[serde(rename = "f")]
     Differ(Prints),
-    /// Asks for the records with these prints.
+    /// Requests the records with these hashes.
     #[serde(rename = "w")]
     Want(Prints),
-    /// Carries records that the receiver lacks; they are no news to others.
+    /// Carries records that the receiver lacks. The receiver does not gossip them.
     #[serde(rename = "t")]
     Tell,
 }
@@ -91,18 +91,18 @@
     }
 }
 
-/// The prints of records in some ranges.
+/// The short hashes of the records in some ranges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prints {
-    /// The ranges, one bit each.
+    /// The ranges, as a bit set.
     #[serde(rename = "r")]
     pub ranges: u64,
-    /// The prints.
+    /// The short hashes.
     #[serde(rename = "p", with = "packed")]
     pub prints: Vec<u32>,
 }
 
-/// Prints as a byte string, four bytes each in place of five.
+/// Encodes short hashes as a byte string: four bytes each, where CBOR integers take five.
 mod packed {
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -122,9 +122,9 @@
 }
 
 fn unpack(bytes: &[u8]) -> Result<Vec<u32>, String> {
-    let (numbers, rest) = bytes.as_chunks();
-    if !rest.is_empty() {
-        return Err(format!("{} bytes are no whole number of prints", bytes.len()));
+    let (numbers, remainder) = bytes.as_chunks();
+    if !remainder.is_empty() {
+        return Err(format!("length of {} bytes is not a multiple of 4", bytes.len()));
     }
     Ok(numbers.iter().map(|bytes| u32::from_le_bytes(*bytes)).collect())
 }
@@ -132,16 +132,16 @@
 /// A control datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The purpose.
+    /// The type.
     #[serde(rename = "k")]
     pub kind: Kind,
-    /// The sender's report about itself.
+    /// The sender's record of itself.
     #[serde(rename = "f")]
     pub from: Record,
-    /// What the sender has in force.
+    /// The summary of the sender's state.
     #[serde(rename = "d")]
     pub digest: Digest,
-    /// The news, or the records that are told.
+    /// The gossip, or the records that the receiver lacks.
     #[serde(rename = "n")]
     pub rumours: Vec<Rumour>,
 }
--- a/crates/members/src/prober.rs
+++ b/crates/members/src/prober.rs
@@ -1,14 +1,15 @@
-//! Failure detection by probing, after the SWIM protocol: whom to ping, and whom to suspect.
+//! Failure detection by probing, after the SWIM protocol: which member to ping, and which to
+//! suspect.
 //!
-//! Each period a member pings one other: mostly one of its own zone, in a shuffled round, and
-//! now and then one of another zone, since bytes between zones are dear. So each member is
-//! pinged about once a period, whatever the fleet's size. Without an acknowledgement the
-//! member asks a few others to ping in its stead, then suspects the target, and after a time
-//! of suspicion holds it for unreachable. Unreachable members stay in the round, rarely, so
-//! that a healed partition is noticed by both sides.
+//! In each period a member pings one other member. Most pings go to members of the local zone, in
+//! shuffled round-robin order; some go to another zone, rarely, because traffic between zones is
+//! expensive. Each member is thus pinged about once a period, whatever the fleet's size. If no
+//! acknowledgement arrives, the prober asks a few other members to ping the target, then suspects
+//! it, and after the suspicion timeout considers it unreachable. Unreachable members stay in the
+//! rotation at a lower rate, so that both sides notice when a network partition heals.
 //!
-//! Invariant: a member sends at most one ping, a few indirect ones and one acknowledgement
-//! for each received ping a period, whatever the fleet's size.
+//! Invariant: in each period a member sends at most one ping, a bounded number of indirect ping
+//! requests, and one acknowledgement for each ping received, whatever the fleet's size.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -19,41 +20,41 @@
 use crate::record::{Endpoint, Record, State};
 use crate::view::View;
 
-/// How many pings for others may be outstanding.
-const MOST_RELAYS: usize = 256;
+/// The maximum number of outstanding pings on behalf of other members.
+const MAX_RELAYED_PINGS: usize = 256;
 
-/// One ping in so many leaves the zone, or one in as many as the zone has other members if
-/// those are fewer: of a zone that is lost whole, each member is still pinged by the others
-/// once in some seconds.
-const FAR: usize = 5;
+/// One of this many pings goes to another zone, or one of as many as the local zone has other
+/// members if those are fewer. When all members of a zone fail at once, members of other zones
+/// still ping each of them every few seconds.
+const REMOTE_PING_PERIOD: usize = 5;
 
-/// One round in so many holds the members that take no work.
-const DEAD: u32 = 4;
+/// One of this many rounds includes the members that do not accept work.
+const UNAVAILABLE_ROUND_PERIOD: u32 = 4;
 
-/// The periods of a prober.
+/// The timing of a prober.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How often another member is pinged.
+    /// The interval between pings.
     pub probe: Duration,
-    /// How long an acknowledgement may take before others are asked.
+    /// How long to wait for an acknowledgement before other members are asked to ping the target.
     pub answer: Duration,
-    /// How long a suspect may refute.
+    /// How long a suspect has to refute the suspicion.
     pub suspicion: Duration,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingPing {
     target: Endpoint,
-    number: u64,
-    sent: Instant,
-    asked: bool,
+    sequence: u64,
+    sent_at: Instant,
+    helpers_asked: bool,
 }
 
-/// The members that are still to be pinged, of the own zone or of the others.
+/// The members still to be pinged in the current round, of the local zone or of the others.
 #[derive(Debug, Default)]
 struct Round {
-    members: Vec<Endpoint>,
-    count: u32,
+    remaining: Vec<Endpoint>,
+    round: u32,
 }
 
 impl Round {
@@ -62,16 +63,16 @@
         others: impl Iterator<Item = &'a Record>,
         rng: &mut StdRng,
     ) -> Option<Endpoint> {
-        if self.members.is_empty() {
-            self.count = self.count.wrapping_add(1);
-            let with_dead = self.count.is_multiple_of(DEAD);
+        if self.remaining.is_empty() {
+            self.round = self.round.wrapping_add(1);
+            let include_unavailable = self.round.is_multiple_of(UNAVAILABLE_ROUND_PERIOD);
             let probed = others.filter(|record| {
-                record.state.takes_work() || (with_dead && record.state != State::Left)
+                record.state.takes_work() || (include_unavailable && record.state != State::Left)
             });
-            self.members = probed.map(|record| record.endpoint).collect();
-            self.members.shuffle(rng);
+            self.remaining = probed.map(|record| record.endpoint).collect();
+            self.remaining.shuffle(rng);
         }
-        self.members.pop()
+        self.remaining.pop()
     }
 }
 
@@ -79,13 +80,13 @@
 #[derive(Debug)]
 pub(crate) struct Prober {
     timing: Timing,
-    near: Round,
-    far: Round,
-    turn: usize,
-    next: Instant,
-    number: u64,
-    pending: Option<Pending>,
-    relays: BTreeMap<u64, (Endpoint, u64)>,
+    local: Round,
+    remote: Round,
+    ping_count: usize,
+    next_ping: Instant,
+    last_sequence: u64,
+    pending: Option<PendingPing>,
+    relayed: BTreeMap<u64, (Endpoint, u64)>,
     suspects: BTreeMap<Endpoint, Instant>,
 }
 
@@ -93,59 +94,61 @@
     pub(crate) fn new(now: Instant, timing: Timing) -> Self {
         Self {
             timing,
-            near: Round::default(),
-            far: Round::default(),
-            turn: 0,
-            next: now,
-            number: 0,
+            local: Round::default(),
+            remote: Round::default(),
+            ping_count: 0,
+            next_ping: now,
+            last_sequence: 0,
             pending: None,
-            relays: BTreeMap::new(),
+            relayed: BTreeMap::new(),
             suspects: BTreeMap::new(),
         }
     }
 
-    /// Tells when there is something to do.
+    /// Returns when the next timer expires.
     pub(crate) fn due(&self) -> Instant {
-        let pending = self.pending.as_ref().filter(|pending| !pending.asked);
-        let asking = pending.map(|pending| pending.sent + self.timing.answer);
+        let pending = self.pending.as_ref().filter(|pending| !pending.helpers_asked);
+        let overdue = pending.map(|pending| pending.sent_at + self.timing.answer);
         let suspects = self.suspects.values().min().copied();
-        [asking, suspects].into_iter().flatten().fold(self.next, Instant::min)
+        [overdue, suspects].into_iter().flatten().fold(self.next_ping, Instant::min)
     }
 
-    /// Returns the ping that others should be asked to make, once.
-    pub(crate) fn unanswered(&mut self, now: Instant) -> Option<(u64, Endpoint)> {
+    /// Returns the overdue ping that other members are to be asked to repeat; each ping only once.
+    pub(crate) fn take_overdue_ping(&mut self, now: Instant) -> Option<(u64, Endpoint)> {
         let answer = self.timing.answer;
-        let late = |pending: &&mut Pending| !pending.asked && now >= pending.sent + answer;
-        let pending = self.pending.as_mut().filter(late)?;
-        pending.asked = true;
-        Some((pending.number, pending.target))
+        let is_late =
+            |pending: &&mut PendingPing| !pending.helpers_asked && now >= pending.sent_at + answer;
+        let pending = self.pending.as_mut().filter(is_late)?;
+        pending.helpers_asked = true;
+        Some((pending.sequence, pending.target))
     }
 
-    /// Takes the suspects whose time is over.
-    pub(crate) fn expired(&mut self, now: Instant) -> Vec<Endpoint> {
-        let over = self.suspects.iter().filter(|(_, until)| now >= **until);
-        let over: Vec<_> = over.map(|(endpoint, _)| *endpoint).collect();
-        for endpoint in &over {
+    /// Removes and returns the suspects whose suspicion timeout has expired.
+    pub(crate) fn take_expired_suspects(&mut self, now: Instant) -> Vec<Endpoint> {
+        let expired = self.suspects.iter().filter(|(_, deadline)| now >= **deadline);
+        let expired: Vec<_> = expired.map(|(endpoint, _)| *endpoint).collect();
+        for endpoint in &expired {
             self.suspects.remove(endpoint);
         }
-        over
+        expired
     }
 
-    /// Ends a period: returns whom to suspect, unless this member was late itself.
+    /// Ends a period and returns the member to suspect, if any; none if this member was late
+    /// itself.
     pub(crate) fn end_period(&mut self, now: Instant) -> Option<Endpoint> {
-        let late = now.saturating_duration_since(self.next) > self.timing.answer;
-        self.next = now + self.timing.probe;
-        let silent = self.pending.take();
-        // Acknowledgements may be waiting for a process that slept or has no processor.
-        silent.filter(|_| !late).map(|pending| pending.target)
+        let is_late = now.saturating_duration_since(self.next_ping) > self.timing.answer;
+        self.next_ping = now + self.timing.probe;
+        let unanswered = self.pending.take();
+        // A process that was suspended or starved of CPU time may have unread acknowledgements.
+        unanswered.filter(|_| !is_late).map(|pending| pending.target)
     }
 
-    /// Tells whether a period is over.
-    pub(crate) fn is_due(&self, now: Instant) -> bool {
-        now >= self.next
+    /// Returns whether the current period has ended.
+    pub(crate) fn is_period_over(&self, now: Instant) -> bool {
+        now >= self.next_ping
     }
 
-    /// Chooses whom to ping, and numbers the ping.
+    /// Chooses a member to ping and returns the ping's sequence number and its target.
     pub(crate) fn ping(
         &mut self,
         now: Instant,
@@ -154,44 +157,48 @@
         rng: &mut StdRng,
     ) -> Option<(u64, Endpoint)> {
         let others = || view.iter().filter(|record| record.endpoint != me.endpoint);
-        let is_near = |record: &&Record| record.zone == me.zone;
-        let mates = others().filter(is_near).filter(|mate| mate.state.takes_work()).count();
-        self.turn = self.turn.wrapping_add(1);
-        let leaves = mates == 0 || self.turn.is_multiple_of(mates.clamp(2, FAR));
-        let near = |round: &mut Round, rng: &mut StdRng| round.next(others().filter(is_near), rng);
-        let far = |round: &mut Round, rng: &mut StdRng| {
+        let is_local = |record: &&Record| record.zone == me.zone;
+        let zone_peers = others().filter(is_local).filter(|peer| peer.state.takes_work()).count();
+        self.ping_count = self.ping_count.wrapping_add(1);
+        let to_remote = zone_peers == 0
+            || self.ping_count.is_multiple_of(zone_peers.clamp(2, REMOTE_PING_PERIOD));
+        let local =
+            |round: &mut Round, rng: &mut StdRng| round.next(others().filter(is_local), rng);
+        let remote = |round: &mut Round, rng: &mut StdRng| {
             round.next(others().filter(|record| record.zone != me.zone), rng)
         };
-        let target = if leaves {
-            far(&mut self.far, rng).or_else(|| near(&mut self.near, rng))
+        let target = if to_remote {
+            remote(&mut self.remote, rng).or_else(|| local(&mut self.local, rng))
         } else {
-            near(&mut self.near, rng).or_else(|| far(&mut self.far, rng))
+            local(&mut self.local, rng).or_else(|| remote(&mut self.remote, rng))
         }?;
-        let number = self.number();
-        self.pending = Some(Pending { target, number, sent: now, asked: false });
-        Some((number, target))
+        let sequence = self.next_sequence();
+        self.pending = Some(PendingPing { target, sequence, sent_at: now, helpers_asked: false });
+        Some((sequence, target))
     }
 
-    /// Takes in an acknowledgement, and returns to whom it is to be passed on.
-    pub(crate) fn acknowledged(&mut self, number: u64) -> Option<(Endpoint, u64)> {
-        if self.pending.as_ref().is_some_and(|pending| pending.number == number) {
+    /// Handles an acknowledgement. If the ping was sent on behalf of another member, returns that
+    /// member and the sequence number that it used.
+    pub(crate) fn handle_ack(&mut self, sequence: u64) -> Option<(Endpoint, u64)> {
+        if self.pending.as_ref().is_some_and(|pending| pending.sequence == sequence) {
             self.pending = None;
         }
-        self.relays.remove(&number)
+        self.relayed.remove(&sequence)
     }
 
-    /// Numbers a ping that is made in another's stead.
-    pub(crate) fn relay(&mut self, origin: Endpoint, number: u64) -> u64 {
-        if self.relays.len() >= MOST_RELAYS {
-            self.relays.pop_first();
+    /// Returns the sequence number for a ping on behalf of `origin`, which used
+    /// `origin_sequence`.
+    pub(crate) fn relay_ping(&mut self, origin: Endpoint, origin_sequence: u64) -> u64 {
+        if self.relayed.len() >= MAX_RELAYED_PINGS {
+            self.relayed.pop_first();
         }
-        let own = self.number();
-        self.relays.insert(own, (origin, number));
-        own
+        let sequence = self.next_sequence();
+        self.relayed.insert(sequence, (origin, origin_sequence));
+        sequence
     }
 
-    /// Notes a change of a member's state.
-    pub(crate) fn note(&mut self, now: Instant, record: &Record) {
+    /// Starts or stops the suspicion timer after a change of a member's state.
+    pub(crate) fn update_suspicion(&mut self, now: Instant, record: &Record) {
         if record.state == State::Suspect {
             self.suspects.insert(record.endpoint, now + self.timing.suspicion);
         } else {
@@ -199,8 +206,8 @@
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    fn next_sequence(&mut self) -> u64 {
+        self.last_sequence += 1;
+        self.last_sequence
     }
 }
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one member, and which of two reports is newer.
+//! Records about members, and the order that decides which of two records is newer.
 
 use std::fmt;
 use std::net::Ipv4Addr;
@@ -6,7 +6,7 @@
 use bergamot_base::{Incarnation, Name, hash_parts};
 use serde::{Deserialize, Serialize};
 
-/// The duty of a daemon.
+/// The role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
     /// Serves callers.
@@ -26,17 +26,17 @@
     }
 }
 
-/// Where a member is found: an instance runs at most one daemon of each role.
+/// The address of a member. An instance runs at most one daemon of each role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// The IPv4 number of the instance.
+    /// The IPv4 address of the instance.
     pub ip: Ipv4Addr,
-    /// The duty of the daemon.
+    /// The role of the daemon.
     pub role: Role,
 }
 
 impl Endpoint {
-    /// Returns a number for rendezvous hashing that is the same in every process.
+    /// Returns a hash for rendezvous hashing that is the same in every process.
     pub fn hash(self) -> u64 {
         hash_parts([&self.ip.octets()[..], &[self.role as u8]])
     }
@@ -48,40 +48,42 @@
     }
 }
 
-/// The state of one run of a member, in the order in which reports override.
+/// The state of one incarnation of a member. Of two records with the same incarnation and counter,
+/// the one with the greater state takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers probes, or nothing speaks against it.
+    /// The member answers probes, or there is no evidence of failure.
     #[serde(rename = "a")]
     Alive,
-    /// It did not answer a probe and may refute.
+    /// The member did not answer a probe; it can still refute the suspicion.
     #[serde(rename = "s")]
     Suspect,
-    /// It did not refute in time. It keeps its place in the homes.
+    /// The member did not refute the suspicion in time. It stays in the placement of cells.
     #[serde(rename = "u")]
     Unreachable,
-    /// It said that it will stop. Final for the run.
+    /// The member announced that it will stop. Final for the incarnation.
     #[serde(rename = "l")]
     Leaving,
-    /// It is gone for good. Final for the run.
+    /// The member is gone for good. Final for the incarnation.
     #[serde(rename = "x")]
     Left,
 }
 
 impl State {
-    /// Tells whether no later report about the same run can change the state back.
+    /// Returns whether no later record of the same incarnation can change the state back.
     pub fn is_final(self) -> bool {
         self >= Self::Leaving
     }
 
-    /// Tells whether a member in this state keeps its place in the homes of cells.
+    /// Returns whether a member in this state stays in the placement of cells.
     ///
-    /// An unreachable member does: two halves of a split fleet must not both grow.
+    /// An unreachable member does: otherwise both sides of a network partition would move its cells
+    /// to further members.
     pub fn keeps_place(self) -> bool {
         self < Self::Leaving
     }
 
-    /// Returns the name of the state.
+    /// Returns the state's name for text output.
     pub fn label(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Tells whether new work may be sent to a member in this state.
+    /// Returns whether new work may be sent to a member in this state.
     pub fn takes_work(self) -> bool {
         self <= Self::Suspect
     }
@@ -104,35 +106,34 @@
     }
 }
 
-/// A report about one run of a member.
+/// The state of one incarnation of a member, as known to some member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Where the member is found.
+    /// The member's address.
     #[serde(rename = "e")]
     pub endpoint: Endpoint,
     /// The availability zone.
     #[serde(rename = "z")]
     pub zone: Name,
-    /// The run; zero where only the platform's list knows of the member.
+    /// The incarnation; zero if the member is known only from the platform's list.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// How often the run has refuted a suspicion.
+    /// The number of suspicions that the incarnation has refuted.
     #[serde(rename = "c")]
     pub counter: u32,
-    /// The state.
+    /// The member's state.
     #[serde(rename = "s")]
     pub state: State,
-    /// How much processor time the member has, in thousandths of a core; zero if it did
-    /// not say.
+    /// The member's CPU capacity in thousandths of a core; zero if it was not announced.
     #[serde(rename = "w", default)]
     pub weight: u32,
 }
 
 impl Record {
-    /// Tells whether this report overrides another about the same endpoint.
+    /// Returns whether this record takes precedence over `other`, a record of the same endpoint.
     ///
-    /// A later run always does. Within a run a final state does, whatever the
-    /// counters; else the higher counter, and at the same counter the worse state.
+    /// A later incarnation always does. Within an incarnation a final state does, whatever the
+    /// counters; otherwise the higher counter, and for equal counters the greater state.
     pub fn overrides(&self, other: &Self) -> bool {
         let rank = |record: &Self| {
             let last = record.state.is_final().then_some(record.state);
@@ -141,7 +142,7 @@
         rank(self) > rank(other)
     }
 
-    /// Returns a hash of the report, for the digest of a whole view.
+    /// Returns a hash of the record; a view's hash combines those of its records.
     pub fn hash(&self) -> u64 {
         hash_parts([
             &self.endpoint.hash().to_le_bytes()[..],
--- a/crates/members/src/rumour.rs
+++ b/crates/members/src/rumour.rs
@@ -1,10 +1,10 @@
-//! News that travels from member to member.
+//! Gossip: the updates that members pass on to each other.
 //!
-//! News is pushed at once to a few members, who push it on, and repeated on the back of
-//! probes. Records that were told to a member that lacked them are no news. Invariant: each
-//! piece of news is pushed once by each member and repeated a number of times that grows with
-//! the logarithm of the fleet, and one datagram carries a bounded number of them, so the
-//! traffic of a member is bounded whatever the fleet's size.
+//! A new update is pushed to a few members, which push it on, and is piggybacked on probes
+//! afterwards. Records that a member received because it lacked them are not gossiped. Invariant:
+//! each member pushes an update once and piggybacks it a number of times that grows with the
+//! logarithm of the fleet's size, and a datagram carries a bounded number of updates. The traffic
+//! of a member is therefore bounded whatever the fleet's size.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,52 +15,54 @@
 
 use crate::record::{Endpoint, Record};
 
-/// The most rumours on the back of a probe, which keeps it small.
-const PER_PROBE: usize = 10;
+/// The maximum number of rumours piggybacked on a probe, which keeps probes small.
+const MAX_PER_PROBE: usize = 10;
 
-/// The most rumours on the back of a probe to another zone: bytes there are dear, and whoever
-/// news begins with pushes it to every zone.
-const PER_FAR_PROBE: usize = 3;
+/// The maximum number of rumours piggybacked on a probe to another zone. Traffic between zones is
+/// expensive, and the member at which a rumour originates pushes it to every zone anyway.
+const MAX_PER_REMOTE_PROBE: usize = 3;
 
-/// The most records in a datagram of its own: of some 52 bytes each, so that they fit one packet.
+/// The maximum number of records in a datagram without piggybacking. At about 52 bytes a record,
+/// they fit one packet.
 pub const PER_DATAGRAM: usize = 20;
 
-/// The most rumours kept; beyond it, the oldest give way.
-const MOST: usize = 4096;
+/// The maximum number of queued rumours; the oldest are dropped first.
+const MAX_QUEUED: usize = 4096;
 
-/// The most reports about members among them: so many at once mean that a fleet starts, whose
-/// views are compared. All of them would fill every probe for a minute in a fleet of 300.
-const MOST_REPORTS: usize = 64;
+/// The maximum number of queued rumours about members. More arise only while a whole fleet starts,
+/// and then the comparison of views transfers them; in a fleet of 300, gossiping all of them would
+/// fill every probe for a minute.
+const MAX_MEMBER_RUMOURS: usize = 64;
 
-/// How many times the logarithm of the fleet's size a rumour is sent, besides the push.
-const REPEAT: u32 = 2;
+/// A rumour is piggybacked this many times the logarithm of the fleet's size.
+const RETRANSMIT_FACTOR: u32 = 2;
 
-/// How long news waits for more news to travel with. A change crosses a zone in three to
-/// five steps.
-const GATHERING: Duration = Duration::from_millis(20);
+/// How long a push is delayed to batch it with further rumours. A change crosses a zone in three to
+/// five hops.
+const PUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// A piece of news.
+/// An update that members gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rumour {
-    /// A report about a member.
+    /// The record of a member changed.
     #[serde(rename = "m")]
     Member(Record),
-    /// A run of a searcher is leaving.
+    /// An incarnation of a searcher is leaving.
     #[serde(rename = "l")]
     Leaving {
-        /// The searcher.
+        /// The searcher's address.
         #[serde(rename = "a")]
         searcher: SocketAddr,
-        /// The run.
+        /// The incarnation's identifier.
         #[serde(rename = "r")]
         run: Name,
     },
-    /// Searchers end under a request.
+    /// A request is suspected of crashing searchers.
     #[serde(rename = "q")]
     Suspicion(Report),
 }
 
-/// What a rumour is about: newer news about the same subject replaces older.
+/// The subject of a rumour: a newer rumour replaces an older one about the same subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Subject {
     Member(Endpoint),
@@ -79,102 +81,105 @@
 }
 
 impl Rumour {
-    /// Tells whether it is pushed without waiting for more news: until all have heard that a
-    /// request does harm, each of them may lose further searchers to it.
+    /// Returns whether the rumour is pushed without batching. Until all members know that a request
+    /// crashes searchers, each of them may lose further searchers to it.
     fn is_urgent(&self) -> bool {
         matches!(self, Self::Suspicion(report) if report.is_urgent())
     }
 }
 
-/// To whom news is pushed.
+/// The members to which a rumour is pushed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Reach {
-    /// To members of the own zone: somebody else has told the other zones.
+pub(crate) enum Scope {
+    /// Members of the local zone, since another member has informed the other zones.
     Zone,
-    /// To members of every zone.
-    Everywhere,
+    /// Members of every zone.
+    AllZones,
 }
 
 #[derive(Debug)]
-struct Entry {
-    sent: u32,
-    /// To whom it is still to be pushed.
-    push: Option<Reach>,
+struct QueuedRumour {
+    sends: u32,
+    /// The scope of the pending push, if the rumour has not been pushed yet.
+    pending_push: Option<Scope>,
     rumour: Rumour,
 }
 
-/// The news that a member still passes on.
+/// The rumours that a member still gossips.
 #[derive(Debug, Default)]
 pub(crate) struct Rumours {
-    queue: Vec<Entry>,
+    queue: Vec<QueuedRumour>,
     push_at: Option<Instant>,
 }
 
 impl Rumours {
-    /// Adds news, in place of older news about the same subject.
-    pub(crate) fn add(&mut self, now: Instant, rumour: Rumour, reach: Reach) {
+    /// Adds a rumour; replaces an older one about the same subject.
+    pub(crate) fn add(&mut self, now: Instant, rumour: Rumour, scope: Scope) {
         let subject = rumour.subject();
-        let wait = if rumour.is_urgent() { Duration::ZERO } else { GATHERING };
-        self.queue.retain(|known| known.rumour.subject() != subject);
-        self.queue.insert(0, Entry { sent: 0, push: Some(reach), rumour });
-        self.queue.truncate(MOST);
-        self.drop_reports();
-        let due = self.push_at.map_or(now + wait, |due| due.min(now + wait));
+        let delay = if rumour.is_urgent() { Duration::ZERO } else { PUSH_DELAY };
+        self.queue.retain(|queued| queued.rumour.subject() != subject);
+        self.queue.insert(0, QueuedRumour { sends: 0, pending_push: Some(scope), rumour });
+        self.queue.truncate(MAX_QUEUED);
+        self.limit_member_rumours();
+        let due = self.push_at.map_or(now + delay, |due| due.min(now + delay));
         self.push_at = Some(due);
     }
 
-    /// Drops the oldest reports about members beyond the most.
-    fn drop_reports(&mut self) {
-        let is_report = |known: &Entry| matches!(known.rumour, Rumour::Member(_));
-        let mut reports = 0;
-        self.queue.retain(|known| {
-            reports += usize::from(is_report(known));
-            !is_report(known) || reports <= MOST_REPORTS
+    /// Drops the oldest rumours about members beyond [`MAX_MEMBER_RUMOURS`].
+    fn limit_member_rumours(&mut self) {
+        let is_member = |queued: &QueuedRumour| matches!(queued.rumour, Rumour::Member(_));
+        let mut members = 0;
+        self.queue.retain(|queued| {
+            members += usize::from(is_member(queued));
+            !is_member(queued) || members <= MAX_MEMBER_RUMOURS
         });
     }
 
-    /// Tells when news is to be pushed.
+    /// Returns when the next push is due.
     pub(crate) fn push_due(&self) -> Option<Instant> {
         self.push_at
     }
 
-    /// Waits with the push, since there is nobody to push to yet.
-    pub(crate) fn push_later(&mut self, now: Instant) {
-        self.push_at = self.push_at.map(|_| now + GATHERING);
+    /// Postpones the push, since no other member is known yet.
+    pub(crate) fn postpone_push(&mut self, now: Instant) {
+        self.push_at = self.push_at.map(|_| now + PUSH_DELAY);
     }
 
-    /// Takes the news to push, with how far: what was added last first.
+    /// Takes the rumours to push and their scopes, most recently added first within a scope.
     ///
-    /// What doesn't fit one datagram isn't pushed. So much news at once means that many members
-    /// start; their views differ anyway, and are compared.
-    pub(crate) fn push(&mut self) -> Vec<(Reach, Rumour)> {
+    /// Rumours that do not fit one datagram are not pushed. There are that many only while many
+    /// members start, and then their views differ and are compared.
+    pub(crate) fn take_pushes(&mut self) -> Vec<(Scope, Rumour)> {
         self.push_at = None;
-        let fresh = self.queue.iter_mut().filter_map(|known| {
-            let reach = known.push.take()?;
-            known.sent += 1;
-            Some((reach, known.rumour.clone()))
+        let pushes = self.queue.iter_mut().filter_map(|queued| {
+            let scope = queued.pending_push.take()?;
+            queued.sends += 1;
+            Some((scope, queued.rumour.clone()))
         });
-        let mut fresh: Vec<_> = fresh.collect();
-        fresh.sort_by_key(|(reach, _)| std::cmp::Reverse(*reach));
-        fresh.truncate(PER_DATAGRAM);
-        fresh
+        let mut pushes: Vec<_> = pushes.collect();
+        pushes.sort_by_key(|(scope, _)| std::cmp::Reverse(*scope));
+        pushes.truncate(PER_DATAGRAM);
+        pushes
     }
 
-    /// Takes what the next probe carries: the news sent least often so far.
-    pub(crate) fn take(&mut self, fleet: usize, far: bool) -> Vec<Rumour> {
-        self.queue.sort_by_key(|known| known.sent);
-        let most = REPEAT * (usize::BITS - fleet.leading_zeros()).max(1);
-        let taken =
-            self.queue.iter_mut().take(if far { PER_FAR_PROBE } else { PER_PROBE }).map(|known| {
-                known.sent += 1;
-                known.rumour.clone()
+    /// Takes the rumours to piggyback on the next probe: those sent the fewest times so far.
+    pub(crate) fn take_piggybacked(&mut self, members: usize, remote: bool) -> Vec<Rumour> {
+        self.queue.sort_by_key(|queued| queued.sends);
+        let max_sends = RETRANSMIT_FACTOR * (usize::BITS - members.leading_zeros()).max(1);
+        let taken = self
+            .queue
+            .iter_mut()
+            .take(if remote { MAX_PER_REMOTE_PROBE } else { MAX_PER_PROBE })
+            .map(|queued| {
+                queued.sends += 1;
+                queued.rumour.clone()
             });
         let taken = taken.collect();
-        self.queue.retain(|known| known.sent < most);
+        self.queue.retain(|queued| queued.sends < max_sends);
         taken
     }
 
-    /// Returns how much news is still passed on.
+    /// Returns the number of rumours that are still gossiped.
     pub(crate) fn len(&self) -> usize {
         self.queue.len()
     }
--- a/crates/members/src/suspicions.rs
+++ b/crates/members/src/suspicions.rs
@@ -1,9 +1,9 @@
-//! How members tell each other of requests under which searchers end.
+//! Exchange of reports on requests that crash searchers.
 //!
-//! News is pushed like news of members. A member that may lack some, since it has just started
-//! or datagrams got lost, shows by the hash in its datagrams that it holds something else, and is
-//! told. Invariant: what is sent for that in a second is bounded, whatever is held and however many
-//! members differ.
+//! Reports are gossiped like member records. A member can lack some because it has just started or
+//! because datagrams were lost; the hash in its datagrams then differs, and other members send it
+//! their reports. Invariant: the volume of these messages a second is bounded, however many reports
+//! are held and however many members differ.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,73 +14,77 @@
 use crate::message::{Datagram, Digest};
 use crate::rumour::Rumour;
 
-/// How soon after one member another is told what it lacks: news on its way arrives sooner, and
-/// whoever starts hears of several members in that time.
-const AGAIN: Duration = Duration::from_millis(500);
+/// The minimum interval between two sets of reports sent to members that differ. Gossip in flight
+/// arrives sooner than this, and a member that starts hears from several others within this time.
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a member that starts waits for word of what the others hold: a seed that lives answers
-/// within some round trips between regions, and is asked again after 0.1 s. Where all have just
-/// started, or nobody else is there, nobody can tell, and callers must not wait for that.
-const WORD: Duration = Duration::from_millis(300);
+/// How long a starting member waits to learn whether the others hold reports. A live seed answers
+/// within a few round trips between regions, and is asked again after 0.1 s. If all members have
+/// just started, or there are no others, none can answer, and callers must not wait for that.
+const INFORM_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How many reports a member is told at once: three datagrams.
-const AT_ONCE: usize = 30;
+/// The maximum number of reports sent at once, which take three datagrams.
+const MAX_REPORTS_SENT: usize = 30;
 
-/// The exchange of suspicions with the other members.
+/// The exchange of reports on suspect requests with the other members.
 #[derive(Debug)]
 pub struct Suspicions {
     quarantine: Arc<Shared>,
-    /// Whether another member was heard of.
-    heard: bool,
-    /// When a member was last told what it may lack.
-    told: Option<Instant>,
-    /// With which report the next one that is told begins.
-    next: usize,
+    /// Whether a datagram of another member has been received.
+    heard_from_others: bool,
+    /// When reports were last sent to a member that differed.
+    last_sent: Option<Instant>,
+    /// The index of the first report to send next time.
+    next_index: usize,
 }
 
 impl Suspicions {
-    /// Makes the exchange of what is held in a quarantine, of a member that has just started.
+    /// Creates the exchange for the reports in a quarantine. The local member has just started.
     pub fn new(quarantine: Arc<Shared>) -> Self {
-        Self { quarantine, heard: false, told: None, next: 0 }
+        Self { quarantine, heard_from_others: false, last_sent: None, next_index: 0 }
     }
 
-    /// Returns the hash of what is held here, for datagrams.
+    /// Returns the hash of the local reports, for datagrams.
     pub fn hash(&self) -> u64 {
         self.quarantine.hash()
     }
 
-    /// Spreads what this member has found out.
+    /// Gossips the reports that originate at this member.
     pub fn spread(&self, now: Instant, membership: &mut Membership) {
         for report in self.quarantine.take_news(now) {
             membership.spread(now, Rumour::Suspicion(report));
         }
     }
 
-    /// Takes in what others have told, passes on what is news, and returns of which requests.
+    /// Merges reports received from other members, gossips those that were new, and returns the
+    /// fingerprints of their requests.
     pub fn hear(&self, now: Instant, membership: &mut Membership) -> Vec<Fingerprint> {
-        let mut news = Vec::new();
+        let mut updated = Vec::new();
         for report in membership.take_reports() {
             if !self.quarantine.merge(now, &report) {
                 continue;
             }
-            news.push(report.fingerprint);
+            updated.push(report.fingerprint);
             if let Some(known) = self.quarantine.report(now, report.fingerprint) {
                 membership.pass_on(now, Rumour::Suspicion(known));
             }
         }
-        news
+        updated
     }
 
-    /// Notes whether whoever could tell has told: the view is whole, or it took long enough.
+    /// Marks the quarantine as informed once the view has converged or [`INFORM_TIMEOUT`] has
+    /// passed.
     pub fn settle(&self, now: Instant, membership: &Membership) {
-        let told = membership.is_settled(now) || membership.age(now) >= WORD;
-        if told && !self.quarantine.is_informed() {
+        let is_informed = membership.is_settled(now) || membership.age(now) >= INFORM_TIMEOUT;
+        if is_informed && !self.quarantine.is_informed() {
             self.quarantine.set_informed(true);
         }
     }
 
-    /// Tells the sender of a datagram what it may lack, and notes if it holds the same: it knows
-    /// the newest of what is published, so it hasn't just started itself.
+    /// Returns datagrams with the reports that the sender of `datagram` may lack.
+    ///
+    /// Marks the quarantine as informed if the sender holds the same reports and has the latest
+    /// published state, which shows that it has not just started itself.
     pub fn inform(
         &mut self,
         now: Instant,
@@ -89,25 +93,27 @@
         digest: Digest,
     ) -> Vec<Outgoing> {
         let hash = self.hash();
-        let agreed = datagram.digest.fresh && datagram.digest.suspicions == hash;
-        if agreed {
+        let agrees = datagram.digest.fresh && datagram.digest.suspicions == hash;
+        if agrees {
             self.quarantine.set_informed(true);
-        } else if !self.heard && membership.age(now) < WORD {
-            // Somebody is there who may hold more.
+        } else if !self.heard_from_others && membership.age(now) < INFORM_TIMEOUT {
+            // Another member exists and may hold more reports.
             self.quarantine.set_informed(false);
         }
-        self.heard = true;
-        let recently = self.told.is_some_and(|told| now.saturating_duration_since(told) < AGAIN);
+        self.heard_from_others = true;
+        let recently = self
+            .last_sent
+            .is_some_and(|sent| now.saturating_duration_since(sent) < MIN_SEND_INTERVAL);
         if hash == 0 || datagram.digest.suspicions == hash || recently {
             return Vec::new();
         }
-        self.told = Some(now);
+        self.last_sent = Some(now);
         let mut reports = self.quarantine.grave(now);
         reports.sort_by_key(|report| report.fingerprint);
-        let begin = self.next % reports.len().max(1);
-        reports.rotate_left(begin);
-        reports.truncate(AT_ONCE);
-        self.next = begin + reports.len();
+        let first = self.next_index % reports.len().max(1);
+        reports.rotate_left(first);
+        reports.truncate(MAX_REPORTS_SENT);
+        self.next_index = first + reports.len();
         membership.inform(datagram.from.endpoint, reports, digest)
     }
 }
--- a/crates/members/src/sync.rs
+++ b/crates/members/src/sync.rs
@@ -1,11 +1,12 @@
-//! Comparison of views: what two members don't both know is told, and nothing else.
+//! Anti-entropy comparison of views: two members exchange only the records that one of them lacks.
 //!
-//! Each datagram carries the hash of its sender's view. While hashes differ, a member sends
-//! the hashes of its ranges to one whose view differed; that one answers with the prints of
-//! its records in ranges that differ; the first tells what the other lacks and asks for what
-//! it lacks itself. Views double with each round while members start, and a single record
-//! that differs costs some hundred bytes. Invariant: what a comparison sends is bounded,
-//! whatever the views, and no member begins more than one in [`INTERVAL`].
+//! Each datagram carries the hash of its sender's view. While the hashes differ, a member sends its
+//! range hashes to a member whose view differed. The receiver answers with the short hashes of its
+//! records in the ranges that differ; the first member then sends the records that the other lacks
+//! and requests those that it lacks itself. While members start, each round doubles the number of
+//! records known; a single differing record costs some hundred bytes. Invariant: the volume of a
+//! comparison is bounded, whatever the views, and a member starts at most one each
+//! [`MIN_INTERVAL`].
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -16,35 +17,37 @@
 use crate::message::{Prints, Summary};
 use crate::record::{Endpoint, Record};
 use crate::rumour::PER_DATAGRAM;
-use crate::view::{RANGES, View, print, range};
+use crate::view::{RANGES, View, range, short_hash};
 
-/// The shortest time between two comparisons that a member begins: several round trips in a
-/// region, so that the last one has ended.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum interval between two comparisons that a member starts: several round trips within a
+/// region, so that the previous one has finished.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest time between two that bring nothing: one of two is behind and can't follow.
-const LONGEST: Duration = Duration::from_secs(2);
+/// The maximum interval between comparisons that transfer nothing, which happens if one of the two
+/// members is behind and cannot catch up.
+const MAX_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long views may differ before they are compared: news crosses the fleet in this time.
-const SETTLE: Duration = Duration::from_millis(250);
+/// How long views may differ before they are compared; gossip crosses the fleet within this time.
+const COMPARE_DELAY: Duration = Duration::from_millis(250);
 
-/// The most prints in one datagram: 1,024 bytes.
-const MOST_PRINTS: usize = 256;
+/// The maximum number of short hashes in one datagram: 1,024 bytes.
+const MAX_HASHES: usize = 256;
 
-/// The most datagrams with records that answer one datagram: 7 KB, 2 ms on a link of 25 Mbit/s.
-const MOST_DATAGRAMS: usize = 6;
+/// The maximum number of datagrams with records in answer to one datagram: 7 KB, which take 2 ms on
+/// a link of 25 Mbit/s.
+const MAX_RECORD_DATAGRAMS: usize = 6;
 
-/// When views are compared, and with whom.
+/// Schedules the comparisons of views.
 #[derive(Debug)]
 pub(crate) struct Sync {
-    /// The last member whose view differed, with its hash, and since when any did.
+    /// The last member whose view differed, with its hash, and since when any view has differed.
     ///
-    /// That others have the same view says nothing about it: the members of a zone speak to
-    /// each other far more often than to those of other zones.
-    differs: Option<Difference>,
-    last: Option<Instant>,
+    /// Agreement with another member does not clear it: members of a zone hear from each other far
+    /// more often than from those of other zones.
+    difference: Option<Difference>,
+    last_started: Option<Instant>,
     interval: Duration,
-    changes: u64,
+    view_changes: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -56,102 +59,107 @@
 
 impl Sync {
     pub(crate) fn new() -> Self {
-        Self { differs: None, last: None, interval: INTERVAL, changes: 0 }
+        Self { difference: None, last_started: None, interval: MIN_INTERVAL, view_changes: 0 }
     }
 
-    /// Tells when a comparison is due; without delay while the member is still learning whom
-    /// there is.
+    /// Returns when the next comparison is due; without delay until the view has converged.
     pub(crate) fn due(&self, settled: bool) -> Option<Instant> {
-        let Difference { since, .. } = self.differs?;
-        let soonest = if settled { since + SETTLE } else { since };
-        Some(self.last.map_or(soonest, |last| soonest.max(last + self.interval)))
+        let Difference { since, .. } = self.difference?;
+        let earliest = if settled { since + COMPARE_DELAY } else { since };
+        Some(self.last_started.map_or(earliest, |last| earliest.max(last + self.interval)))
     }
 
-    /// Notes the hash of a member's view beside the own one.
-    pub(crate) fn see(&mut self, now: Instant, peer: Endpoint, hash: u64, own: u64) {
-        let still = self.differs.filter(|known| known.hash != own && known.peer != peer);
-        self.differs = if hash == own {
-            still
+    /// Records the hash of a peer's view, compared with the local one.
+    pub(crate) fn record_hash(&mut self, now: Instant, peer: Endpoint, hash: u64, local: u64) {
+        let remaining = self.difference.filter(|known| known.hash != local && known.peer != peer);
+        self.difference = if hash == local {
+            remaining
         } else {
-            let since = self.differs.map_or(now, |known| known.since);
+            let since = self.difference.map_or(now, |known| known.since);
             Some(Difference { since, peer, hash })
         };
     }
 
-    /// Begins a comparison: returns with whom.
-    pub(crate) fn begin(&mut self, now: Instant, changes: u64, settled: bool) -> Option<Endpoint> {
-        let Difference { peer, .. } = self.differs?;
-        let useful = !settled || self.changes != changes;
-        self.interval = if useful { INTERVAL } else { LONGEST.min(self.interval * 2) };
-        self.changes = changes;
-        self.last = Some(now);
+    /// Starts a comparison and returns the peer to compare with.
+    pub(crate) fn start(&mut self, now: Instant, changes: u64, settled: bool) -> Option<Endpoint> {
+        let Difference { peer, .. } = self.difference?;
+        let was_useful = !settled || self.view_changes != changes;
+        self.interval = if was_useful { MIN_INTERVAL } else { MAX_INTERVAL.min(self.interval * 2) };
+        self.view_changes = changes;
+        self.last_started = Some(now);
         Some(peer)
     }
 }
 
-/// Returns the prints of the records in some of the ranges that differ, as many as fit.
-pub(crate) fn differing(view: &View, theirs: &Summary, rng: &mut StdRng) -> Option<Prints> {
-    let differs = |range: &usize| view.ranges()[*range] != theirs.0[*range];
+/// Returns the short hashes of the records in ranges that differ, as many ranges as fit.
+pub(crate) fn differing_hashes(view: &View, peer: &Summary, rng: &mut StdRng) -> Option<Prints> {
+    let differs = |range: &usize| view.ranges()[*range] != peer.0[*range];
     let mut differing: Vec<usize> = (0..RANGES).filter(differs).collect();
     differing.shuffle(rng);
-    let mut found = vec![Vec::new(); RANGES];
+    let mut hashes = vec![Vec::new(); RANGES];
     for record in view.working() {
-        found[range(record.endpoint)].push(print(record));
+        hashes[range(record.endpoint)].push(short_hash(record));
     }
     let mut answer = Prints { ranges: 0, prints: Vec::new() };
     for range in differing {
-        let prints = &found[range];
-        if answer.ranges != 0 && answer.prints.len() + prints.len() > MOST_PRINTS {
+        let in_range = &hashes[range];
+        if answer.ranges != 0 && answer.prints.len() + in_range.len() > MAX_HASHES {
             break;
         }
         answer.ranges |= 1 << range;
-        answer.prints.extend(prints.iter().take(MOST_PRINTS));
+        answer.prints.extend(in_range.iter().take(MAX_HASHES));
     }
     (answer.ranges != 0).then_some(answer)
 }
 
-/// Returns the records that a member lacks, and what is lacking here.
-pub(crate) fn lacking(view: &View, theirs: &Prints, rng: &mut StdRng) -> (Vec<Record>, Prints) {
-    let mut wanted: BTreeSet<u32> = theirs.prints.iter().copied().collect();
-    let is_asked = |record: &&Record| theirs.ranges & (1 << range(record.endpoint)) != 0;
-    let mut told = Vec::new();
-    for record in view.working().filter(is_asked) {
-        if !wanted.remove(&print(record)) {
-            told.push(record.clone());
+/// Returns the records that the peer lacks and the short hashes of those that are missing here.
+pub(crate) fn missing_records(
+    view: &View,
+    peer: &Prints,
+    rng: &mut StdRng,
+) -> (Vec<Record>, Prints) {
+    let mut wanted: BTreeSet<u32> = peer.prints.iter().copied().collect();
+    let in_ranges = |record: &&Record| peer.ranges & (1 << range(record.endpoint)) != 0;
+    let mut records = Vec::new();
+    for record in view.working().filter(in_ranges) {
+        if !wanted.remove(&short_hash(record)) {
+            records.push(record.clone());
         }
     }
-    bound(&mut told, rng);
-    let prints = wanted.into_iter().take(MOST_PRINTS).collect();
-    (told, Prints { ranges: theirs.ranges, prints })
+    truncate(&mut records, rng);
+    let prints = wanted.into_iter().take(MAX_HASHES).collect();
+    (records, Prints { ranges: peer.ranges, prints })
 }
 
-/// Returns the records that a member asks for.
-pub(crate) fn wanted(view: &View, wanted: &Prints, rng: &mut StdRng) -> Vec<Record> {
-    let prints: BTreeSet<u32> = wanted.prints.iter().copied().collect();
-    let known = view.working().filter(|record| prints.contains(&print(record)));
-    let mut told = known.cloned().collect();
-    bound(&mut told, rng);
-    told
+/// Returns the records that a peer requested.
+pub(crate) fn requested_records(view: &View, request: &Prints, rng: &mut StdRng) -> Vec<Record> {
+    let hashes: BTreeSet<u32> = request.prints.iter().copied().collect();
+    let known = view.working().filter(|record| hashes.contains(&short_hash(record)));
+    let mut records = known.cloned().collect();
+    truncate(&mut records, rng);
+    records
 }
 
-/// Returns some members for one that has just started, half of them of its own zone if there
-/// are so many.
-pub(crate) fn some(view: &View, asker: &Record, rng: &mut StdRng) -> Vec<Record> {
-    let others = view.working().filter(|record| record.endpoint != asker.endpoint);
-    let (mut near, mut far): (Vec<_>, Vec<_>) = others.partition(|other| other.zone == asker.zone);
-    near.shuffle(rng);
-    far.shuffle(rng);
-    let from_near = near.len().min((PER_DATAGRAM / 2).max(PER_DATAGRAM.saturating_sub(far.len())));
-    near.truncate(from_near);
-    far.truncate(PER_DATAGRAM - from_near);
-    near.into_iter().chain(far).cloned().collect()
+/// Returns a sample of members for one that has just started. Half of them are of its zone, if it
+/// has as many.
+pub(crate) fn sample_for_join(view: &View, joining: &Record, rng: &mut StdRng) -> Vec<Record> {
+    let others = view.working().filter(|record| record.endpoint != joining.endpoint);
+    let (mut local, mut remote): (Vec<_>, Vec<_>) =
+        others.partition(|other| other.zone == joining.zone);
+    local.shuffle(rng);
+    remote.shuffle(rng);
+    let from_local =
+        local.len().min((PER_DATAGRAM / 2).max(PER_DATAGRAM.saturating_sub(remote.len())));
+    local.truncate(from_local);
+    remote.truncate(PER_DATAGRAM - from_local);
+    local.into_iter().chain(remote).cloned().collect()
 }
 
-/// Keeps as many records as may be sent at once.
-fn bound(told: &mut Vec<Record>, rng: &mut StdRng) {
-    let most = PER_DATAGRAM * MOST_DATAGRAMS;
-    if told.len() > most {
-        told.shuffle(rng);
-        told.truncate(most);
+/// Truncates the records to a random selection of as many as may be sent at once.
+fn truncate(records: &mut Vec<Record>, rng: &mut StdRng) {
+    let max = PER_DATAGRAM * MAX_RECORD_DATAGRAMS;
+    if records.len() > max {
+        records.shuffle(rng);
+        records.truncate(max);
     }
 }
--- a/crates/members/src/view.rs
+++ b/crates/members/src/view.rs
@@ -1,10 +1,10 @@
 //! One member's view of all members.
 //!
-//! Invariant: within a run, a final state is never left, and no report about an
-//! earlier run changes anything. The platform's list lags; it can add members that
-//! nobody has heard of and remove members that nobody can reach, and nothing else.
-//! The hashes tell about the members that take work, and nothing about the others: so a
-//! member that is gone can be forgotten without a word, whenever each of the others does.
+//! Invariant: within an incarnation, a final state is never left, and no record of an earlier
+//! incarnation changes the view. The platform's list is eventually consistent; it can add unknown
+//! members and remove unreachable ones, and changes nothing else. The hashes cover only the members
+//! that accept work, so each member can forget departed members at its own time without making the
+//! views differ.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,21 +14,21 @@
 
 use crate::record::{Endpoint, Record, Role, State};
 
-/// An instance as the platform's list gives it.
+/// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
-    /// The IPv4 number of the instance.
+    /// The IPv4 address of the instance.
     pub ip: Ipv4Addr,
     /// The availability zone.
     pub zone: Name,
-    /// Whether the platform says that the instance is leaving.
+    /// Whether the platform reports the instance as leaving.
     pub leaving: bool,
 }
 
-/// Into how many ranges the members are divided by their hashes.
+/// The number of ranges into which members are divided by their hashes.
 ///
-/// At 1,800 members a range holds 28 records, so that the prints of one, 112 bytes, tell which
-/// of them differ; their hashes fit one datagram at any size of the fleet.
+/// At 1,800 members a range has 28 records, so the short hashes of one range take 112 bytes; the
+/// hashes of all ranges fit one datagram at any fleet size.
 pub const RANGES: usize = 64;
 
 /// One member's view of all members.
@@ -62,41 +62,41 @@
     (endpoint.hash() % RANGES as u64) as usize
 }
 
-/// Returns a short hash of a record.
+/// Returns a 32-bit hash of a record.
 ///
-/// Two records of a fleet of 1,800 share one once in some thousand fleets; then one of them
-/// is told by news alone.
-pub(crate) fn print(record: &Record) -> u32 {
+/// In a fleet of 1,800, two records collide in about one of a thousand fleets; then one of them is
+/// spread by gossip alone.
+pub(crate) fn short_hash(record: &Record) -> u32 {
     record.hash() as u32
 }
 
 impl View {
-    /// Takes in a report and tells whether it changed the view.
+    /// Merges a record and returns whether the view changed.
     pub fn apply(&mut self, record: &Record) -> bool {
         let known = self.records.get(&record.endpoint);
         if known.is_some_and(|known| !record.overrides(known)) {
             return false;
         }
         let known = self.records.insert(record.endpoint, record.clone());
-        self.count(record, true);
+        self.update_hashes(record, true);
         if let Some(known) = known {
-            self.count(&known, false);
+            self.update_hashes(&known, false);
         }
         self.changes += 1;
         true
     }
 
-    /// Takes a record into the hashes, or out of them.
-    fn count(&mut self, record: &Record, comes: bool) {
+    /// Adds a record to the hashes and the count, or removes it from them.
+    fn update_hashes(&mut self, record: &Record, added: bool) {
         if !record.state.takes_work() {
             return;
         }
         self.hash ^= record.hash();
-        self.ranges[range(record.endpoint)] ^= print(record);
-        self.working = if comes { self.working + 1 } else { self.working - 1 };
+        self.ranges[range(record.endpoint)] ^= short_hash(record);
+        self.working = if added { self.working + 1 } else { self.working - 1 };
     }
 
-    /// Forgets a member that takes no work.
+    /// Removes a member that does not accept work.
     pub(crate) fn forget(&mut self, endpoint: Endpoint) {
         if self.records.get(&endpoint).is_some_and(|known| !known.state.takes_work()) {
             self.records.remove(&endpoint);
@@ -104,28 +104,28 @@
         }
     }
 
-    /// Takes in the platform's list and returns the reports that follow from it.
+    /// Applies the platform's list and returns the records that changed and are to be gossiped.
     ///
-    /// Members known from elsewhere are left alone, unless they are unreachable and
-    /// no longer listed: then they are gone for good.
+    /// Records known from other sources are unchanged, except that an unreachable member that is no
+    /// longer listed is marked as left.
     pub fn apply_list(&mut self, list: &[Listed]) -> Vec<Record> {
         self.listed = list.iter().map(|listed| listed.ip).collect();
         self.listed_leaving =
             list.iter().filter(|listed| listed.leaving).map(|listed| listed.ip).collect();
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for listed in list {
             for role in [Role::Entry, Role::Gather] {
                 let endpoint = Endpoint { ip: listed.ip, role };
                 if !self.records.contains_key(&endpoint) && !listed.leaving {
                     let zone = Name::clone(&listed.zone);
                     let state = State::Alive;
-                    let seed =
+                    let record =
                         Record { endpoint, zone, incarnation: 0, counter: 0, state, weight: 0 };
-                    self.apply(&seed);
+                    self.apply(&record);
                 }
             }
         }
-        let gone: Vec<_> = self
+        let departed: Vec<_> = self
             .records
             .values()
             .filter(|record| {
@@ -133,37 +133,37 @@
             })
             .map(|record| Record { state: State::Left, ..record.clone() })
             .collect();
-        for record in gone {
+        for record in departed {
             self.apply(&record);
-            news.push(record);
+            updates.push(record);
         }
-        news
+        updates
     }
 
-    /// Returns the report about an endpoint.
+    /// Returns the record of an endpoint.
     pub fn get(&self, endpoint: Endpoint) -> Option<&Record> {
         self.records.get(&endpoint)
     }
 
-    /// Iterates over all reports.
+    /// Iterates over all records.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
 
-    /// Iterates over the members of a role that keep their place.
+    /// Iterates over the members of a role that stay in the placement of cells.
     pub fn placed(&self, role: Role) -> impl Iterator<Item = &Record> {
         self.records
             .values()
             .filter(move |record| record.endpoint.role == role && record.state.keeps_place())
     }
 
-    /// Tells whether new work may be sent to an endpoint.
+    /// Returns whether new work may be sent to an endpoint.
     pub fn takes_work(&self, endpoint: Endpoint) -> bool {
         self.records.get(&endpoint).is_some_and(|record| record.state.takes_work())
             && !self.listed_leaving.contains(&endpoint.ip)
     }
 
-    /// Returns the hash of the members that take work, to compare views with.
+    /// Returns the hash of the members that accept work, by which views are compared.
     pub fn hash(&self) -> u64 {
         self.hash
     }
@@ -173,18 +173,18 @@
         &self.ranges
     }
 
-    /// Iterates over the members that take work.
+    /// Iterates over the members that accept work.
     pub fn working(&self) -> impl Iterator<Item = &Record> {
         self.records.values().filter(|record| record.state.takes_work())
     }
 
-    /// Returns how many members take work.
+    /// Returns the number of members that accept work.
     pub fn count_working(&self) -> usize {
         self.working
     }
 
-    /// Returns the hash of the gathers that keep their place, with whether they can be
-    /// reached. It changes only when homes may have to change.
+    /// Returns a hash of the gathers in the placement of cells and of whether each is reachable. It
+    /// changes only if the homes of cells may have to change.
     pub fn places_hash(&self) -> u64 {
         self.placed(Role::Gather).fold(0, |sum, record| {
             let reachable = u64::from(record.state.takes_work());
@@ -192,24 +192,24 @@
         })
     }
 
-    /// Counts how often the view has changed.
+    /// Returns the number of changes to the view so far.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns how many members are known.
+    /// Returns the number of known members.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no member is known.
+    /// Returns whether no member is known.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 }
 
 impl fmt::Display for View {
-    /// Writes the text form that dumps and tests use: one line a member.
+    /// Writes the text form for dumps and tests: one line for each member.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for record in self.records.values() {
             write!(f, "{record}")?;
--- a/crates/members/tests/filetests.rs
+++ b/crates/members/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Traces of views, probers and homes.
+//! Trace tests of the view and of failure detection.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -47,7 +47,7 @@
     }
 }
 
-/// A member is written as a number: the last of its IP number; it is a gather.
+/// Parses a member, written as the last octet of its IP address. It is a gather.
 fn endpoint(member: &str) -> Endpoint {
     let last = member.parse().unwrap_or(0);
     Endpoint { ip: Ipv4Addr::new(127, 0, 0, last), role: Role::Gather }
@@ -71,7 +71,8 @@
     }
 }
 
-/// Members of a trace; datagrams go to those that are up, at once.
+/// A network of members that delivers datagrams immediately, except to and from members that are
+/// down.
 struct Net {
     members: BTreeMap<Endpoint, Membership>,
     down: Vec<Endpoint>,
@@ -131,7 +132,7 @@
         self.members.insert(at, membership);
     }
 
-    /// Lets time pass in small steps.
+    /// Advances time in steps of 10 ms.
     fn run(&mut self, now: Instant, time: Duration) {
         let mut moment = now;
         while moment < now + time {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// What the first member that is up believes of every gather.
+    /// Returns the state of every gather in the view of the first member that is up.
     fn states(&self) -> String {
         let observer = self.members.iter().find(|(endpoint, _)| !self.down.contains(endpoint));
         let Some((_, observer)) = observer else {
--- a/crates/members/tests/homes.rs
+++ b/crates/members/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Properties of the homes of cells.
+//! Property tests of the placement of cells.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -8,7 +8,7 @@
 use bergamot_members::{Endpoint, Homes, Record, Role, State};
 use proptest::prelude::*;
 
-/// A document with a number of shards of two replicas, for a number of instances.
+/// Returns a document with the given number of instances, shards of two replicas each, and regions.
 fn document(instances: usize, shards: usize, regions: usize) -> Document {
     let places: Vec<_> = (0..regions)
         .map(|r| serde_json::json!({"zone": format!("z{r}"), "region": format!("r{r}")}))
@@ -40,8 +40,9 @@
     (0..count).map(gather).collect()
 }
 
-/// The homes as one part of a split fleet sees them: other parts can't be reached.
-fn seen_from(document: &Document, members: &[Record], parts: &[usize], part: usize) -> Homes {
+/// Returns the homes as computed in one part of a partitioned fleet, from which the members of
+/// other parts are unreachable.
+fn homes_seen_from(document: &Document, members: &[Record], parts: &[usize], part: usize) -> Homes {
     let seen: Vec<Record> = members
         .iter()
         .zip(parts)
@@ -57,7 +58,7 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn homes_are_distinct_bounded_and_the_same_in_every_order(
+    fn homes_are_distinct_bounded_and_independent_of_member_order(
         count in 1_usize..60,
         shards in 1_usize..120,
         zones in 1_usize..6,
@@ -80,14 +81,14 @@
     }
 
     #[test]
-    fn a_split_fleet_stays_within_twice_the_homes_and_serves_every_cell(
+    fn a_partitioned_fleet_has_at_most_twice_the_homes_and_serves_every_cell(
         count in 4_usize..60,
         parts in proptest::collection::vec(0_usize..3, 60),
     ) {
         let document = document(count, 60, 3);
         let members = gathers(count, 3);
         let parts = &parts[..count];
-        let views: Vec<_> = (0..3).map(|part| seen_from(&document, &members, parts, part)).collect();
+        let views: Vec<_> = (0..3).map(|part| homes_seen_from(&document, &members, parts, part)).collect();
         for cell in document.layout.cells.keys() {
             let mut holding = BTreeSet::new();
             for (part, view) in views.iter().enumerate().filter(|(part, _)| parts.contains(part)) {
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn shares_leave_room_for_all_homes_old_and_new() {
+fn shares_leave_room_for_old_and_new_homes() {
     for instances in [6, 8, 24, 100, 1800] {
         let document = document(instances, 56, 3);
         let service = document.services.keys().next().expect("there is a service");
--- a/crates/members/tests/incarnation.rs
+++ b/crates/members/tests/incarnation.rs
@@ -1,4 +1,5 @@
-//! A run whose clock was set back numbers itself after its predecessor.
+//! A process that starts after its clock was set back gets a lower incarnation than its
+//! predecessor.
 
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn a_later_run_with_an_earlier_number_takes_a_number_after_its_predecessors() {
+fn a_restart_with_a_lower_incarnation_takes_one_above_its_predecessors() {
     let timing = Timing {
         probe: Duration::from_millis(300),
         answer: Duration::from_millis(100),
@@ -23,7 +24,7 @@
     let me = record(1, 500, State::Alive);
     let (now, rng) = (Instant::now(), Seed(1).generator("test"));
     let mut membership = Membership::new(now, timing, me, Vec::new(), rng);
-    // A peer still holds the farewell of the run before, whose clock was ahead.
+    // A peer still holds the departure of the previous incarnation, whose clock was ahead.
     let datagram = Datagram {
         kind: Kind::News,
         from: record(2, 7, State::Alive),
--- a/crates/members/tests/suspicions.rs
+++ b/crates/members/tests/suspicions.rs
@@ -1,4 +1,5 @@
-//! When a member that has just started may take requests, by what it has heard of verdicts.
+//! Tests of when a starting member accepts requests, which depends on the reports that it received
+//! about requests that crash searchers.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -34,15 +35,15 @@
     (Arc::clone(&quarantine), Suspicions::new(quarantine), membership)
 }
 
-/// A datagram of another member that knows the newest, or not.
+/// Returns a datagram of another member that has the latest published state, or has not.
 fn datagram(fresh: bool) -> Datagram {
     let digest = Digest { fresh, ..Digest::default() };
     Datagram { kind: Kind::News, from: record(2), digest, rumours: Vec::new() }
 }
 
-/// Callers of a single instance would be refused for as long as it waits for others.
+/// Guards against refusing the callers of a single instance while it waits for other members.
 #[test]
-fn a_member_that_is_alone_takes_requests_at_once() {
+fn a_sole_member_accepts_requests_at_once() {
     let now = Instant::now();
     let (quarantine, suspicions, membership) = start(now);
     suspicions.settle(now, &membership);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_member_that_hears_of_another_waits_for_one_that_is_not_new_itself() {
+fn a_member_that_hears_from_another_waits_for_a_fresh_one() {
     let now = Instant::now();
     let (quarantine, mut suspicions, membership) = start(now);
     suspicions.inform(now, &membership, &datagram(false), Digest::default());
@@ -59,9 +60,9 @@
     assert!(quarantine.is_informed());
 }
 
-/// All have started together, and nobody can tell.
+/// Guards against waiting forever when all members have just started, so that none is fresh.
 #[test]
-fn a_member_waits_for_a_short_time_only() {
+fn a_member_waits_only_until_the_timeout() {
     let now = Instant::now();
     let (quarantine, mut suspicions, membership) = start(now);
     suspicions.inform(now, &membership, &datagram(false), Digest::default());
