--- a/crates/wire/src/channel.rs
+++ b/crates/wire/src/channel.rs
@@ -1,7 +1,7 @@
-//! Connections between daemons for requests.
+//! RPC connections between daemons.
 //!
-//! One connection a peer carries any number of requests at once; tarpc numbers them,
-//! so a late reply can only ever reach the request it belongs to, or nobody.
+//! Concurrent requests to a peer are multiplexed over one connection. tarpc assigns each a request
+//! ID, so a late reply is matched to its request or dropped.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,22 +21,22 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The largest message; larger partial answers can't be carried and are refused.
-const LARGEST_MESSAGE: usize = 64 << 20;
+/// The maximum message size; a larger partial answer is rejected.
+const MAX_MESSAGE_LEN: usize = 64 << 20;
 
-/// How long a connection to a peer may take.
-const DIAL: Duration = Duration::from_millis(500);
+/// The timeout for connecting to a peer.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A client that can be made from a fresh connection.
+/// A client that is created from a new connection.
 pub trait Connect: Clone {
-    /// Makes the client over a stream.
-    fn over(stream: TcpStream) -> Self;
+    /// Creates a client that uses `stream`.
+    fn from_stream(stream: TcpStream) -> Self;
 }
 
-macro_rules! connect {
+macro_rules! impl_connect {
     ($client:ty) => {
         impl Connect for $client {
-            fn over(stream: TcpStream) -> Self {
+            fn from_stream(stream: TcpStream) -> Self {
                 let transport = serde_transport::new(framed(stream), Bincode::default());
                 Self::new(tarpc::client::Config::default(), transport).spawn()
             }
@@ -44,75 +44,75 @@
     };
 }
 
-connect!(crate::rpc::GatherClient);
-connect!(crate::rpc::EntryClient);
-connect!(crate::member::MemberClient);
+impl_connect!(crate::rpc::GatherClient);
+impl_connect!(crate::rpc::EntryClient);
+impl_connect!(crate::member::MemberClient);
 
-/// The connections of one daemon to peers of one role.
+/// The connections of a daemon to peers of one role.
 #[derive(Debug)]
 pub struct Channels<C> {
     local: Ipv4Addr,
-    open: Mutex<HashMap<SocketAddr, Arc<Mutex<Option<C>>>>>,
+    clients: Mutex<HashMap<SocketAddr, Arc<Mutex<Option<C>>>>>,
 }
 
 impl<C: Connect> Channels<C> {
-    /// Makes the set without a connection.
+    /// Creates an empty set of connections, to be dialled from the address `local`.
     pub fn new(local: Ipv4Addr) -> Self {
-        Self { local, open: Mutex::default() }
+        Self { local, clients: Mutex::default() }
     }
 
-    /// Returns the client of a peer, dialling where there is none.
+    /// Returns the client for a peer; connects if there is none.
     pub async fn get(&self, peer: SocketAddr) -> Result<C, Fault> {
-        let place = Arc::clone(self.open.lock().await.entry(peer).or_default());
-        let mut place = place.lock().await;
-        if let Some(client) = &*place {
+        let slot = Arc::clone(self.clients.lock().await.entry(peer).or_default());
+        let mut slot = slot.lock().await;
+        if let Some(client) = &*slot {
             return Ok(client.clone());
         }
-        let client = C::over(dial(self.local, peer, DIAL).await?);
-        *place = Some(client.clone());
+        let client = C::from_stream(dial(self.local, peer, DIAL_TIMEOUT).await?);
+        *slot = Some(client.clone());
         Ok(client)
     }
 
-    /// Forgets the client of a peer whose connection failed.
+    /// Removes the client of a peer whose connection failed.
     pub async fn forget(&self, peer: SocketAddr) {
-        self.open.lock().await.remove(&peer);
+        self.clients.lock().await.remove(&peer);
     }
 
-    /// Forgets the clients of peers that are not wanted any more.
+    /// Removes the clients of all peers that do not satisfy `wanted`.
     pub async fn retain(&self, wanted: impl Fn(SocketAddr) -> bool) {
-        self.open.lock().await.retain(|peer, _| wanted(*peer));
+        self.clients.lock().await.retain(|peer, _| wanted(*peer));
     }
 }
 
-/// Accepts connections until `stop` and hands each to `serve`, then waits for the
-/// requests that were started on the tracker.
+/// Accepts connections until `stop` is cancelled and passes each to `serve`, then waits for the
+/// requests in flight.
 ///
-/// `serve` makes the server's requests from [`transport`] and spawns [`run_requests`]:
-/// only there are the types of the handlers' futures known.
+/// `serve` creates the server side with [`transport`] and spawns [`run_requests`] for it. This is
+/// left to the caller because the types of the handlers' futures are known only there.
 pub async fn serve_requests(
     listener: TcpListener,
     stop: CancellationToken,
     serve: impl Fn(TcpStream, Connection),
 ) {
-    let open = Connection { tracker: TaskTracker::new(), closed: CancellationToken::new() };
+    let connection = Connection { tracker: TaskTracker::new(), closed: CancellationToken::new() };
     while let Some(stream) = accept(&listener, &stop).await {
-        serve(stream, open.clone());
+        serve(stream, connection.clone());
     }
-    open.tracker.close();
-    open.tracker.wait().await;
-    open.closed.cancel();
+    connection.tracker.close();
+    connection.tracker.wait().await;
+    connection.closed.cancel();
 }
 
-/// What the connections of one listener share.
+/// State shared by the connections of one listener.
 #[derive(Clone, Debug)]
 pub struct Connection {
     /// The requests in flight.
     tracker: TaskTracker,
-    /// Cancelled once the listener has stopped and nothing is in flight.
+    /// Cancelled once the listener has stopped and no requests are in flight.
     closed: CancellationToken,
 }
 
-/// Makes the server's side of a connection.
+/// Creates the server side of a connection.
 pub fn transport<Req, Resp>(
     stream: TcpStream,
 ) -> BaseChannel<Req, Resp, impl Transport<Response<Resp>, ClientMessage<Req>>>
@@ -123,7 +123,7 @@
     BaseChannel::with_defaults(serde_transport::new(framed(stream), Bincode::default()))
 }
 
-/// Accepts the next connection, or nothing once the listener is to stop.
+/// Accepts the next connection; returns `None` once `stop` is cancelled.
 async fn accept(listener: &TcpListener, stop: &CancellationToken) -> Option<TcpStream> {
     loop {
         let accepted = tokio::select! {
@@ -131,32 +131,32 @@
             accepted = listener.accept() => accepted,
         };
         if let Ok((stream, _)) = accepted {
-            // Failure only costs time.
+            // If this fails, requests only take longer.
             let _ = stream.set_nodelay(true);
             return Some(stream);
         }
     }
 }
 
-/// Runs each request of a connection as a task of its own.
+/// Runs each request of a connection in its own task.
 ///
-/// Ends, and closes the connection, when the peer does or the listener has stopped.
-pub async fn run_requests<F>(requests: impl Stream<Item = F>, open: Connection)
+/// Returns, which closes the connection, when the peer closes it or the listener has stopped.
+pub async fn run_requests<F>(requests: impl Stream<Item = F>, connection: Connection)
 where
     F: Future<Output = ()> + Send + 'static,
 {
     let mut requests = std::pin::pin!(requests);
     loop {
         let request = tokio::select! {
-            () = open.closed.cancelled() => return,
+            () = connection.closed.cancelled() => return,
             request = requests.next() => request,
         };
         let Some(request) = request else { return };
-        open.tracker.spawn(request);
+        connection.tracker.spawn(request);
     }
 }
 
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
-    let codec = LengthDelimitedCodec::builder().max_frame_length(LARGEST_MESSAGE).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_LEN).new_codec();
     Framed::new(stream, codec)
 }
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,25 +1,25 @@
-//! Control datagrams as CBOR.
+//! CBOR encoding of control datagrams.
 
 use bergamot_base::{Peer, Step};
 use bergamot_members::Datagram;
 use snafu::Snafu;
 
-/// The largest datagram that is sent or taken, in bytes, so that it fits one packet.
+/// The maximum size in bytes of a datagram that is sent or received, so that it fits one packet.
 pub const LARGEST_DATAGRAM: usize = 1400;
 
-/// A datagram that can't be read.
+/// A datagram that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} {peer}: {cause}"))]
-pub struct Garbled {
-    /// What was being done.
+pub struct DecodeError {
+    /// The step that failed.
     pub step: Step,
-    /// Who sent it.
+    /// The sender.
     pub peer: Peer,
-    /// What is wrong with it.
+    /// The cause of the failure.
     pub cause: String,
 }
 
-/// Encodes a datagram and drops the last rumours where it would not fit one packet.
+/// Encodes a datagram, without its last rumours if it would otherwise exceed one packet.
 pub fn encode(mut datagram: Datagram) -> Vec<u8> {
     loop {
         let mut bytes = Vec::with_capacity(LARGEST_DATAGRAM);
@@ -31,8 +31,8 @@
 }
 
 /// Decodes a datagram.
-pub fn decode(bytes: &[u8], peer: impl Into<Peer>) -> Result<Datagram, Garbled> {
-    ciborium::from_reader(bytes).map_err(|error| Garbled {
+pub fn decode(bytes: &[u8], peer: impl Into<Peer>) -> Result<Datagram, DecodeError> {
+    ciborium::from_reader(bytes).map_err(|error| DecodeError {
         step: Step("decode datagram"),
         peer: peer.into(),
         cause: error.to_string(),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,9 @@
-//! Messages between daemons and their transports.
+//! Messages between daemons, and their transports.
 //!
-//! Requests with a deadline travel by `tarpc` ([`Gather`], [`Entry`]): it carries the
-//! time left and cancels what the caller has dropped. Control datagrams are `CBOR` in
-//! UDP ([`encode`], [`decode`]); whole documents and views travel over a WebSocket
-//! ([`pull`], [`serve_pulls`]), since they may be larger than any datagram. See
-//! `docs/design/0001-two-tiers.md`.
+//! Requests with a deadline use `tarpc` ([`Gather`], [`Entry`], [`Member`]), which transmits the
+//! remaining time and cancels requests that the caller has dropped. Control datagrams are CBOR over
+//! UDP ([`encode`], [`decode`]). Documents and views may exceed the size of a datagram and are
+//! transferred over a WebSocket ([`pull`], [`serve_pulls`]). See `docs/design/0001-two-tiers.md`.
 
 mod channel;
 mod datagram;
@@ -13,7 +12,7 @@
 mod stream;
 
 pub use channel::{Channels, Connect, Connection, run_requests, serve_requests, transport};
-pub use datagram::{Garbled, LARGEST_DATAGRAM, decode, encode};
+pub use datagram::{DecodeError, LARGEST_DATAGRAM, decode, encode};
 pub use member::{
     Item, Late, Manifest, Member, MemberClient, News, NewsQuery, Quiet, Rank, Shard, ShardQuery,
     ShardReply, Value,
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -1,4 +1,4 @@
-//! The requests between members that serve the same callers.
+//! RPC requests between members that serve the same callers.
 
 #![allow(missing_docs, reason = "tarpc's macro makes items that can't carry documentation")]
 
@@ -9,152 +9,154 @@
 use bergamot_registry::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// A caller's request for some shards, asked on behalf of another member.
+/// A caller's request to some shards, delegated to another member.
 ///
-/// The receiver runs beside searchers of these shards: it asks each once, merges, and
-/// answers in time for the sender to ask others for what is missing.
+/// The receiver is in the same region as searchers of these shards. It queries each shard once,
+/// merges the answers, and replies early enough for the sender to query others for missing shards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardQuery {
     /// The caller's identifier of the request.
     pub id: Vec<u8>,
     /// The method.
     pub method: String,
-    /// The path and query.
+    /// The path and query string.
     pub uri: String,
-    /// The headers that go on to searchers.
+    /// The headers to forward to searchers.
     pub headers: Vec<(String, Vec<u8>)>,
     /// The body.
     pub body: Vec<u8>,
-    /// The services that are the shards.
+    /// The services that serve as the shards.
     pub shards: Vec<Name>,
-    /// How many records the merged answer needs at the most.
+    /// The maximum number of records that the merged answer needs.
     pub top_k: u32,
-    /// How many of them are likely to suffice, and are sent at first.
+    /// The number of records that are likely to suffice, and are sent in the first reply.
     pub enough: u32,
-    /// Within which time the answer must be on its way.
+    /// The time within which the reply must be sent.
     pub answer_within: Duration,
-    /// How long the caller still waits.
+    /// The time remaining until the caller's deadline.
     pub deadline: Duration,
 }
 
-/// What became of one shard of a [`ShardQuery`].
+/// The outcome of one shard of a [`ShardQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shard {
-    /// It is in, with the searcher's signature.
+    /// The shard answered, with this signature of the searcher.
     In(Vec<u8>),
-    /// It is not, and this searcher was asked and is silent.
+    /// The shard is missing; this searcher was queried and has not answered yet.
     Silent(Incarnation),
-    /// It is not, since this searcher failed or refused the request.
+    /// The shard is missing because this searcher failed or refused the request.
     Failed(Incarnation),
-    /// It is not, since this searcher has ended while it had the request.
+    /// The shard is missing because this searcher's process ended while it was running the request.
     Ended(Incarnation),
-    /// It is not, and nobody was asked.
+    /// The shard is missing; no searcher was queried.
     NotAsked,
 }
 
-/// A silence of a searcher that a member expects.
+/// A predicted period in which a searcher does not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quiet {
-    /// The position of the searcher's shard in the question.
+    /// The index of the searcher's shard in the query.
     pub index: u32,
-    /// The hash of the searcher's incarnation, cut to 32 bits.
+    /// The hash of the searcher's incarnation, truncated to 32 bits.
     pub searcher: u32,
-    /// In how many milliseconds it begins; zero if it has begun.
+    /// The time until the period begins, in milliseconds; zero if it has begun.
     pub begins_ms: u32,
-    /// In how many milliseconds it ends.
+    /// The time until the period ends, in milliseconds.
     pub ends_ms: u32,
 }
 
-/// The merged answer of some shards.
+/// The merged answers of some shards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardReply {
-    /// What became of each shard, in the order of the question.
+    /// The outcome of each shard, in the order of the query.
     pub shards: Vec<Shard>,
-    /// The greatest records of the shards that are in.
+    /// The top-ranked records of the shards that answered.
     pub records: Vec<u8>,
-    /// Names the records that were left out, for [`Member::records`]; zero if there are none.
+    /// The token of the records that were omitted, for [`Member::records`]; zero if there are none.
     pub left_out: u64,
-    /// Names what still runs, for [`Member::rest`]; zero if nothing does.
+    /// The token of the attempts still in progress, for [`Member::rest`]; zero if there are none.
     pub rest: u64,
-    /// The silences that are expected soon of searchers beside the member.
+    /// The periods soon to come in which searchers in the member's region will not answer.
     pub quiet: Vec<Quiet>,
 }
 
-/// A shard that came in after the [`ShardReply`] was on its way.
+/// The answer of a shard that arrived after the [`ShardReply`] was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Late {
-    /// The position of the shard in the question.
+    /// The index of the shard in the query.
     pub index: u32,
-    /// The searcher's signature, unless the attempt failed.
+    /// The searcher's signature; `None` if the attempt failed.
     pub signature: Option<Vec<u8>>,
-    /// The records of this shard alone, since another searcher may have brought them.
+    /// The records of this shard. They are not merged with those of others, since another searcher
+    /// may have returned the same shard.
     pub records: Vec<u8>,
-    /// Whether the searcher has ended while it had the request.
+    /// Whether the searcher's process ended while it was running the request.
     pub ended: bool,
 }
 
-/// A value cut into chunks by its content, so that two versions of it share most of them.
+/// The chunk hashes of a value that is split by content-defined chunking, so that two versions of
+/// the value share most chunks.
 ///
-/// Only this travels with news; the chunks are asked for one after another
+/// The store's changes carry only the manifest; the chunks are requested one after another
 /// ([`Member::chunks`]). See `docs/design/0010-large-records.md`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The hash of the whole value.
+    /// The hash of the complete value.
     pub hash: u64,
     /// The hashes of its chunks, in order.
     pub chunks: Vec<u64>,
 }
 
-/// What a record holds.
+/// The content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Value {
     /// The record was deleted.
     Deleted,
-    /// The value itself.
+    /// The complete value.
     Inline(Vec<u8>),
-    /// A value that is too large to travel with news.
+    /// The manifest of a value that is too large to be sent inline.
     Chunked(Manifest),
 }
 
-/// How new a record is among those of its key.
+/// The order of the records of one key; the newest is the greatest.
 ///
-/// A store that was restored from a copy has records again that were replaced: where their writer
-/// numbers its versions, the version tells and not the position.
+/// A store that was restored from a copy contains old records again, at new positions. If the
+/// writer numbers its versions, the version therefore takes precedence over the position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// The version that the writer gave the record, if it numbers them.
+    /// The writer's version number, if it numbers its versions.
     pub version: Option<Revision>,
-    /// Where in the store's changes the record was made.
+    /// The record's position in the store's change log.
     pub position: Position,
 }
 
 impl From<Position> for Rank {
-    /// The rank of a record whose writer numbers no versions.
+    /// Returns the rank of a record whose writer does not number versions.
     fn from(position: Position) -> Self {
         Self { version: None, position }
     }
 }
 
-/// One record of the platform's store, as it was read.
+/// A record read from the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
     pub key: Name,
-    /// What it holds.
+    /// The content.
     pub value: Value,
-    /// Where in the store's changes it was made.
+    /// The record's position in the store's change log.
     pub position: Position,
-    /// The version that its writer gave it, if it numbers them.
+    /// The writer's version number, if it numbers its versions.
     pub version: Option<Revision>,
 }
 
 impl Item {
-    /// Returns how new the item is among those of its key.
+    /// Returns the item's rank among the records of its key.
     pub fn rank(&self) -> Rank {
         Rank { version: self.version, position: self.position }
     }
 
-    /// Returns about how many bytes the item takes in a message.
+    /// Returns the approximate size of the item in a message, in bytes.
     pub fn size(&self) -> usize {
         let value = match &self.value {
             Value::Deleted => 0,
@@ -165,64 +167,63 @@
     }
 }
 
-/// A question for news of the store.
+/// A query for changes of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewsQuery {
-    /// The position up to which the asker knows everything, or has been told so far of a
-    /// listing.
+    /// The position up to which the client has all changes, or has received the listing in
+    /// progress.
     pub after: Position,
-    /// The position at which the listing began that the asker is being told, if it is.
+    /// The position at which the listing in progress began, if there is one.
     pub listing: Option<Position>,
-    /// The last position that any of those knew who told the listing so far.
+    /// The highest [`News::known`] of the members that have sent the listing so far.
     pub known: Position,
-    /// How long the answer may wait for news.
+    /// How long the member may wait for changes before it answers.
     pub wait: Duration,
 }
 
-/// What a member knows of the store: one page of it, bounded in size.
+/// One page of the store's state as known to a member, limited in size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
     /// The items, in the order of their positions.
     pub items: Vec<Item>,
-    /// The position at which the listing began to which the items belong. What none of its
-    /// pages names does not exist. Without it the items are what has changed.
+    /// The position at which the listing began, if the items belong to one. A key that is on none
+    /// of its pages does not exist. If `None`, the items are changes.
     pub listing: Option<Position>,
-    /// The position up to which the items tell everything, the start if nothing is known.
+    /// The position up to which the items are complete; the start if nothing is known.
     pub at: Position,
-    /// The position up to which the member knows everything.
+    /// The position up to which the member has all changes.
     pub known: Position,
-    /// Whether more is known beyond what the items tell.
+    /// Whether the member has more than these items.
     pub more: bool,
-    /// The position of the last listing among the changes that are told: whoever passes such
-    /// changes on tells all of them at once.
+    /// The position of the last listing among the changes that are sent. Whoever forwards such
+    /// changes must forward all of them at once.
     pub listed: Position,
-    /// Whether the member knows changes under positions of its own, as it does after a gap in what
-    /// it was told: its listing can't be gone on with by another member, nor another's by it.
+    /// Whether the member assigned positions of its own to changes, as it does after a gap in what
+    /// it received. Another member then cannot continue its listing, nor can it continue another's.
     pub own_order: bool,
-    /// How long ago it was certain that nothing newer exists; none if the member has never
-    /// heard of the store.
+    /// The time since the member was known to be up to date; `None` if it has never received
+    /// anything from the store.
     pub age: Option<Duration>,
-    /// Whether an answer of the store with newer items is coming in at the moment.
+    /// Whether the member is currently receiving newer items from the store.
     pub arriving: bool,
 }
 
-/// What a member does for others.
+/// The service that members provide for each other.
 #[tarpc::service]
 pub trait Member {
-    /// Asks searchers of some shards and merges their answers.
+    /// Queries searchers of some shards and merges their answers.
     async fn gather(query: ShardQuery) -> ShardReply;
-    /// Waits for the next shards of an earlier question; none are left if none are returned.
+    /// Waits for further shards of an earlier query; an empty answer means that none remain.
     async fn rest(token: u64) -> Vec<Late>;
-    /// Sends the records that an earlier answer left out; nothing if they are no longer kept.
+    /// Returns the records that an earlier reply omitted; `None` if they are no longer stored.
     async fn records(token: u64) -> Option<Vec<u8>>;
-    /// Grants that a request under which searchers ended is tried at one searcher, unless a trial
-    /// of it is under way.
+    /// Grants a trial of a suspect request at one searcher, unless a trial of it is in progress.
     async fn grant(fingerprint: Fingerprint) -> bool;
-    /// Waits for news of the store.
+    /// Waits for changes of the store.
     async fn news(query: NewsQuery) -> News;
-    /// Sends the first of these chunks of large values that are held, as many as one message
-    /// may hold, waiting for a time at most until any is.
+    /// Returns the first of these chunks that are stored here, as many as one message may hold;
+    /// waits at most `wait` until there is one.
     async fn chunks(hashes: Vec<u64>, wait: Duration) -> Vec<Vec<u8>>;
-    /// Tells the record of one key, if there is one.
+    /// Returns the record of a key, if there is one.
     async fn record(key: Name) -> Option<Item>;
 }
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,8 +1,8 @@
-//! The requests between daemons.
+//! RPC requests between the daemons of the two tiers.
 //!
-//! Invariant: every request carries the revision under which it was planned, and a
-//! daemon that has another one in force refuses it with its own revision. Entities in
-//! a message are therefore always read against the document they were made from.
+//! Invariant: each request carries the revision under which it was planned, and a daemon with
+//! another active revision refuses it and returns its own. Entities in a message are therefore
+//! always interpreted with the document from which they were created.
 
 #![allow(missing_docs, reason = "tarpc's macro makes items that can't carry documentation")]
 
@@ -11,83 +11,83 @@
 use bergamot_write::{Key, Outcome};
 use serde::{Deserialize, Serialize};
 
-/// The part of a query that one cell answers.
+/// The part of a query that is answered by one cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubQuery {
-    /// The name of the caller's request.
+    /// The caller's identifier of the request.
     pub id: Name,
     /// The service.
     pub service: Service,
     /// The snapshot to read.
     pub pin: Pin,
-    /// The shards to ask, all of one cell.
+    /// The shards to query, all of one cell.
     pub shards: Vec<Shard>,
-    /// What is asked.
+    /// The query.
     pub shape: Shape,
 }
 
-/// What a cell found.
+/// The answer of a cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The answers.
+    /// The partial answers of shards.
     pub partials: Vec<Partial>,
-    /// The shards without an answer.
+    /// The shards without an answer, and why.
     pub missing: Vec<(Shard, Reason)>,
-    /// How many sub-queries were sent to searchers.
+    /// The number of sub-queries sent to searchers.
     pub attempts: u32,
-    /// The versions that each shard asked can serve.
+    /// The index versions that each queried shard can serve.
     pub versions: Vec<(Shard, Vec<Version>)>,
 }
 
-/// Why a daemon did not take a request.
+/// The reason why a daemon refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Another revision is in force here.
+    /// Another revision is active on the receiver.
     Revision(Revision),
-    /// This daemon does not home the shards' cell.
+    /// The receiver is not a home of the shards' cell.
     NotHome,
-    /// This daemon slept and has not caught up yet.
+    /// The receiver was suspended and has not caught up yet.
     Asleep,
 }
 
-/// A write on its way to the home of its shard.
+/// A write that is forwarded to the home of its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteOrder {
     /// The revision under which the write was planned.
     pub revision: Revision,
-    /// The shard that holds the record.
+    /// The shard that stores the record.
     pub shard: Shard,
     /// The key.
     pub key: Key,
-    /// The record to which the entry is added.
+    /// The record to which the entry is appended.
     pub record: Name,
     /// The entry.
     pub body: Name,
 }
 
-/// What a gather does for entries.
+/// The service that gathers provide for entries.
 #[tarpc::service]
 pub trait Gather {
-    /// Runs the part of a query that this gather's cell answers.
+    /// Runs the part of a query that the receiver's cell answers.
     async fn search(query: SubQuery) -> Result<Reply, Refusal>;
-    /// Sends a write to its searcher, once. Nothing ran where it is refused.
+    /// Sends a write to its searcher, at most once. A refused write was not executed.
     async fn write(order: WriteOrder) -> Result<Outcome, Refusal>;
-    /// Tells which versions the shards of a service can serve.
+    /// Returns the index versions that each shard of a service can serve.
     async fn versions(
         revision: Revision,
         service: Service,
     ) -> Result<Vec<(Shard, Vec<Version>)>, Refusal>;
 }
 
-/// What an entry does for other entries.
+/// The service that entries provide for other entries.
 #[tarpc::service]
 pub trait Entry {
-    /// Executes a write whose key names the receiver's run.
+    /// Executes a write whose key names the receiver's incarnation.
     async fn execute(workspace: Name, service: Name, key: Key, record: Name, body: Name)
     -> Outcome;
 }
 
-/// Makes the context of a request that must be answered by a deadline.
+/// Returns the context for a request with a deadline.
 pub fn context(deadline: Deadline) -> tarpc::context::Context {
     let mut context = tarpc::context::Context::current();
     context.deadline = deadline.instant();
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -1,7 +1,8 @@
-//! Pulling documents and views over a WebSocket.
+//! Transfer of documents and views over a WebSocket.
 //!
-//! One exchange: the puller says what it holds and gets what it lacks. Connections
-//! are short, since a member pulls from any other and rarely from the same one twice.
+//! A connection serves one exchange: the client sends what it has and receives what it lacks.
+//! Connections are not kept open, since a member pulls from any other and rarely from the same one
+//! twice.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::pin::Pin;
@@ -20,60 +21,61 @@
 use tokio_tungstenite::{WebSocketStream, accept_async, client_async};
 use tokio_util::sync::CancellationToken;
 
-/// The stream of one exchange; it fails when nothing comes in for a time.
-type Stream = Pin<Box<TimeoutStream<TcpStream>>>;
+/// A stream whose reads fail if no data arrives within a timeout.
+type TimedStream = Pin<Box<TimeoutStream<TcpStream>>>;
 
-/// How long a puller may be silent before its question is in, and after the answer.
-const SERVE: Duration = Duration::from_secs(5);
+/// The read timeout of the server, before the request is complete and after the response.
+const SERVER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a puller holds.
+/// A pull request: the state that the client already has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
-    /// The revision in force at the puller, zero for none.
+    /// The client's active revision; zero if it has none.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The hashes of the sections that the puller holds.
+    /// The hashes of the document sections that the client has.
     #[serde(rename = "h")]
     pub held: Vec<u64>,
-    /// The puller's own view, where views are to be exchanged.
+    /// The client's view, if views are to be exchanged.
     #[serde(rename = "v")]
     pub view: Option<Vec<Record>>,
 }
 
-/// What a puller lacks.
+/// A pull response: the state that the client lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
-    /// The document in force, where it is newer.
+    /// The active document, if it is newer than the client's.
     #[serde(rename = "p")]
     pub parcel: Option<Parcel>,
-    /// The whole view, where it was asked for.
+    /// The complete view, if it was requested.
     #[serde(rename = "v")]
     pub view: Vec<Record>,
-    /// The searchers known to be leaving, with the runs that are, where the view was
-    /// asked for.
+    /// The searchers known to be leaving, with the incarnations to which that applies, if the view
+    /// was requested.
     #[serde(rename = "l")]
     pub leaving: Vec<(SocketAddr, Name)>,
 }
 
-/// Pulls from a peer, which may be silent for `silence`; returns also how many bytes came back.
+/// Pulls from a peer; returns the response and its size in bytes.
 ///
-/// A document of 500 KB takes 0.3 s of a link of 14 Mbit/s that does nothing else: only its
-/// progress is bounded, or it would be cut and pulled anew for as long as the link is busy.
+/// `read_timeout` limits how long the peer may send nothing. The total duration has only a generous
+/// limit: a document of 500 KB takes 0.3 s on an otherwise idle link of 14 Mbit/s, and a tight
+/// limit would abort and restart the transfer for as long as the link is busy.
 pub async fn pull(
     local: Ipv4Addr,
     peer: SocketAddr,
     request: &Pull,
-    silence: Duration,
+    read_timeout: Duration,
 ) -> Result<(Bundle, usize), Fault> {
     let exchange = async {
-        let stream = bounded(dial(local, peer, silence).await?, silence);
+        let stream = with_read_timeout(dial(local, peer, read_timeout).await?, read_timeout);
         let address = format!("ws://{peer}/");
         let (mut socket, _) = client_async(address, stream)
             .await
             .map_err(|error| Fault::new("open control stream", peer, error))?;
         send(&mut socket, request, peer).await?;
         let answer = receive(&mut socket, peer).await?;
-        // The exchange is over whether or not the close reaches the peer.
+        // The response is complete even if the close frame does not reach the peer.
         let _ = socket.close(None).await;
         Ok(answer)
     };
@@ -82,13 +84,13 @@
         .map_err(|elapsed| Fault::new("pull", peer, elapsed))?
 }
 
-fn bounded(stream: TcpStream, silence: Duration) -> Stream {
+fn with_read_timeout(stream: TcpStream, read_timeout: Duration) -> TimedStream {
     let mut stream = TimeoutStream::new(stream);
-    stream.set_read_timeout(Some(silence));
+    stream.set_read_timeout(Some(read_timeout));
     Box::pin(stream)
 }
 
-/// Answers pulls until `stop`.
+/// Serves pull requests until `stop` is cancelled.
 pub async fn serve_pulls<F>(listener: TcpListener, stop: CancellationToken, answer: F)
 where
     F: Fn(Pull) -> Bundle + Clone + Send + Sync + 'static,
@@ -103,18 +105,18 @@
         };
         let answer = answer.clone();
         tokio::spawn(async move {
-            let exchange = serve_one(bounded(stream, SERVE), peer, answer);
-            match tokio::time::timeout(SERVE + LONGEST_REPLY, exchange).await {
+            let exchange = serve_one(with_read_timeout(stream, SERVER_READ_TIMEOUT), peer, answer);
+            match tokio::time::timeout(SERVER_READ_TIMEOUT + LONGEST_REPLY, exchange).await {
                 Ok(Ok(())) => {}
-                Ok(Err(fault)) => log::debug!("wire: Pull failed: {fault}."),
-                Err(elapsed) => log::debug!("wire: Pull by {peer} failed: {elapsed}."),
+                Ok(Err(fault)) => log::debug!("wire: Serving a pull failed: {fault}."),
+                Err(elapsed) => log::debug!("wire: Serving a pull by {peer} failed: {elapsed}."),
             }
         });
     }
 }
 
 async fn serve_one(
-    stream: Stream,
+    stream: TimedStream,
     peer: SocketAddr,
     answer: impl Fn(Pull) -> Bundle,
 ) -> Result<(), Fault> {
@@ -128,7 +130,7 @@
 }
 
 async fn send<T: Serialize>(
-    socket: &mut WebSocketStream<Stream>,
+    socket: &mut WebSocketStream<TimedStream>,
     message: &T,
     peer: SocketAddr,
 ) -> Result<(), Fault> {
@@ -142,7 +144,7 @@
 }
 
 async fn receive<T: DeserializeOwned>(
-    socket: &mut WebSocketStream<Stream>,
+    socket: &mut WebSocketStream<TimedStream>,
     peer: SocketAddr,
 ) -> Result<(T, usize), Fault> {
     let message = socket
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Control datagrams on the wire: what fits one packet, and what is refused.
+//! Tests of the encoding of control datagrams: size limits and rejection of malformed datagrams.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_kind_fits_one_packet_and_comes_back_as_it_was() {
+fn every_kind_fits_one_packet_and_round_trips() {
     for kind in all_kinds() {
         let sent = datagram(kind, 0);
         let bytes = encode(sent.clone());
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn the_records_that_are_told_at_once_fit_one_packet() {
+fn the_maximum_number_of_records_fits_one_packet() {
     let sent = datagram(Kind::Tell, PER_DATAGRAM as u16);
     assert_eq!(decode(&encode(sent.clone()), peer()), Ok(sent));
 }
 
-/// Puts another byte string in the place of the one that a datagram's kind holds.
+/// Returns the encoding of a datagram whose byte strings are replaced by `bytes`.
 fn with_bytes(kind: Kind, bytes: &[u8]) -> Vec<u8> {
     fn replace(value: &mut Value, bytes: &[u8]) {
         match value {
@@ -89,33 +89,33 @@
 }
 
 #[test]
-fn comparisons_of_another_size_are_refused_with_step_and_peer() {
+fn comparisons_of_the_wrong_size_are_refused_with_step_and_peer() {
     let compares = |kind: &Kind| matches!(kind, Kind::Compare(_) | Kind::Differ(_) | Kind::Want(_));
     for kind in all_kinds().into_iter().filter(compares) {
-        let garbled = decode(&with_bytes(kind, &[7; 255]), peer()).expect_err("refused");
-        let text = garbled.to_string();
+        let error = decode(&with_bytes(kind, &[7; 255]), peer()).expect_err("refused");
+        let text = error.to_string();
         assert!(text.starts_with("decode datagram 10.1.0.9:7380: "), "{text}");
         assert!(text.contains("255 bytes"), "{text}");
     }
     let compare = Kind::Compare(Box::new(Summary([0; RANGES])));
-    let garbled = decode(&with_bytes(compare, &[7; 64]), peer()).expect_err("refused");
-    assert!(garbled.to_string().contains("16 ranges, not 64"), "{garbled}");
+    let error = decode(&with_bytes(compare, &[7; 64]), peer()).expect_err("refused");
+    assert!(error.to_string().contains("16 ranges, not 64"), "{error}");
 }
 
 proptest! {
     #[test]
-    fn garbled_datagrams_are_read_or_refused(
+    fn corrupted_datagrams_are_decoded_or_refused(
         kind in prop::sample::select(all_kinds()),
-        spoilt in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..8),
+        corruptions in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..8),
         end in any::<prop::sample::Index>(),
     ) {
         let mut bytes = encode(datagram(kind, 2));
-        for (at, byte) in spoilt {
+        for (at, byte) in corruptions {
             let at = at.index(bytes.len());
             bytes[at] = byte;
         }
         bytes.truncate(end.index(bytes.len() + 1));
-        // Either outcome is fine; neither may end the process.
+        // Either result is acceptable; neither may panic.
         let _ = decode(&bytes, peer());
     }
 }
--- a/crates/wire/tests/pull.rs
+++ b/crates/wire/tests/pull.rs
@@ -1,4 +1,4 @@
-//! A pull is bounded by its progress: a large bundle over a slow link comes in whole.
+//! Tests that a pull fails if it makes no progress, but not because the transfer takes long.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// How long the peer may be silent in these tests.
-const SILENCE: Duration = Duration::from_millis(300);
+/// The read timeout of the client in these tests.
+const READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// About 100 KB.
+/// Returns a response of about 100 KB.
 fn bundle() -> Bundle {
     let searcher = SocketAddr::from((Ipv4Addr::LOCALHOST, 7));
     let leaving = (0..2000).map(|run| (searcher, Name::from(format!("{run:0>40}")))).collect();
@@ -25,8 +25,8 @@
     (listener, address)
 }
 
-/// Passes on what comes back in pieces of 8 KB, each after a pause; after so many pieces
-/// nothing more.
+/// Starts a proxy that forwards the server's data in pieces of 8 KB, each after a pause, and
+/// forwards nothing after the given number of pieces.
 async fn slow_link(server: SocketAddr, pause: Duration, pieces: usize) -> SocketAddr {
     let (listener, address) = listener().await;
     tokio::spawn(async move {
@@ -55,16 +55,16 @@
 }
 
 #[tokio::test]
-async fn a_large_bundle_over_a_slow_link_comes_in_whole() {
-    let link = slow_link(server().await, SILENCE / 6, usize::MAX).await;
-    let pulled = pull(Ipv4Addr::LOCALHOST, link, &Pull::default(), SILENCE).await;
+async fn a_large_response_over_a_slow_link_is_received_completely() {
+    let link = slow_link(server().await, READ_TIMEOUT / 6, usize::MAX).await;
+    let pulled = pull(Ipv4Addr::LOCALHOST, link, &Pull::default(), READ_TIMEOUT).await;
     assert_eq!(pulled.expect("it comes in").0, bundle());
 }
 
 #[tokio::test]
-async fn a_pull_from_a_peer_that_falls_silent_midway_ends() {
+async fn a_pull_fails_if_the_peer_stalls_midway() {
     let link = slow_link(server().await, Duration::ZERO, 3).await;
-    let pulled = pull(Ipv4Addr::LOCALHOST, link, &Pull::default(), SILENCE).await;
+    let pulled = pull(Ipv4Addr::LOCALHOST, link, &Pull::default(), READ_TIMEOUT).await;
     let fault = pulled.expect_err("it falls silent");
     assert_eq!(fault.step.0, "receive control message");
 }
