--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Name;
-use bergamot_members::Answer as Addresses;
+use bergamot_members::AddressList as Addresses;
 use bergamot_net::{Client, Fault, Reply, fetch};
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/bench/src/capacity/state.rs
+++ b/crates/bench/src/capacity/state.rs
@@ -96,7 +96,9 @@
         let small = Size { instances, searchers, ..*size };
         let document = small.parsed(1);
         let view = view(instances, size.zones);
-        let homes = || Homes::compute(&document.layout, size.regions, view.placed(Role::Gather));
+        let homes = || {
+            Homes::compute(&document.layout, size.regions, view.placement_candidates(Role::Gather))
+        };
         let (view_kb, kept) = kilobytes(COPIES, || view.clone());
         views.push(kept);
         let homes_ms = milliseconds(ROUNDS, || drop(homes()));
@@ -139,7 +141,7 @@
 /// new for each and the part of gathers that home no cell.
 fn replaced(size: &Size, document: &Document) -> (f64, f64) {
     let members: Vec<Record> =
-        view(size.instances, size.zones).placed(Role::Gather).cloned().collect();
+        view(size.instances, size.zones).placement_candidates(Role::Gather).cloned().collect();
     let homes = |members: &[Record]| Homes::compute(&document.layout, size.regions, members.iter());
     let before = homes(&members);
     let idle = members.iter().filter(|member| before.cells_of(member.endpoint).is_empty()).count();
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -5,7 +5,7 @@
 
 use bergamot_base::{Name, Service};
 use bergamot_config::row::Preference;
-use bergamot_members::{Answer as Addresses, addresses};
+use bergamot_members::{AddressList as Addresses, addresses};
 use bergamot_net::{Body, json};
 use bergamot_node::Current;
 use bergamot_query::Shape;
--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -16,7 +16,7 @@
 use bergamot_feed::{
     Asked, Duty, Members, News, Origin, Roster, Shared, Sink, Source, Subject, ancestors, follow,
 };
-use bergamot_members::{Endpoint, Record, Role, State, ranked};
+use bergamot_members::{Endpoint, Record, Role, State, rank_members};
 use bergamot_net::{Body, Fault, listen, serve, text};
 use bergamot_peers::{Caller, Peers, Place, Seat, choose, serving};
 use bergamot_relay::{Dialect, Helper, Relay};
@@ -234,7 +234,7 @@
         let (fresh, fleet) = (self.peers.fresh(), self.peers.size());
         self.peers.with_view(|view| {
             let mut regions: Vec<_> =
-                ranked(view, |record| self.region(&record.zone)).into_iter().collect();
+                rank_members(view, |record| self.region(&record.zone)).into_iter().collect();
             for (_, members) in &mut regions {
                 let weight = |endpoint| view.get(endpoint).map_or(0, |record| record.weight);
                 members.sort_by_cached_key(|endpoint| Reverse(weight(*endpoint)));
@@ -295,7 +295,8 @@
     /// few. What it is asked it answers with the connections that one of so many may have.
     fn seat(&self) {
         self.relay.set_members(
-            self.peers.with_view(|view| view.working().map(|record| record.endpoint.ip).collect()),
+            self.peers
+                .with_view(|view| view.available().map(|record| record.endpoint.ip).collect()),
         );
         if !self.peers.is_settled() {
             self.relay.tick(self.peers.size(), false);
--- a/crates/members/src/address.rs
+++ b/crates/members/src/address.rs
@@ -22,7 +22,7 @@
 
 /// An entry that a caller may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Target {
+pub struct EntryAddress {
     /// The address and port on which the entry accepts callers.
     pub address: String,
     /// The availability zone.
@@ -37,13 +37,13 @@
 
 /// The answer to a caller who asks for addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct AddressList {
     /// The time to live of the answer, in milliseconds.
     pub ttl_ms: u64,
     /// The prefix of the write keys that the caller creates for the answering entry.
     pub write_prefix: String,
     /// The entries, most preferred first.
-    pub addresses: Vec<Target>,
+    pub addresses: Vec<EntryAddress>,
 }
 
 /// Returns the available entries in order of preference for a caller in `zone`.
@@ -53,7 +53,7 @@
     zone: &str,
     port: u16,
     serial: u64,
-) -> Vec<Target> {
+) -> Vec<EntryAddress> {
     let region = document.region(zone);
     let mut targets: Vec<_> = view
         .iter()
@@ -67,7 +67,7 @@
                 () => OTHER_REGION_WEIGHT,
             };
             let Endpoint { ip, .. } = record.endpoint;
-            Target {
+            EntryAddress {
                 address: format!("{ip}:{port}"),
                 zone: Name::clone(&record.zone),
                 region: Name::from(entry_region),
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -20,13 +20,13 @@
 mod sync;
 mod view;
 
-pub use address::{Answer, Target, addresses};
+pub use address::{AddressList, EntryAddress, addresses};
 pub use homes::Homes;
 pub use membership::{Membership, Outgoing};
-pub use message::{Datagram, Digest, Kind, Prints, Summary};
+pub use message::{Datagram, Digest, Kind, RangeHashes, RecordHashes};
 pub use prober::Timing;
-pub use reader::{ranked, readers};
+pub use reader::{rank_members, readers};
 pub use record::{Endpoint, Record, Role, State};
-pub use rumour::{PER_DATAGRAM, Rumour};
+pub use rumour::{MAX_RECORDS_PER_DATAGRAM, Rumour};
 pub use suspicions::Suspicions;
-pub use view::{Listed, RANGES, View};
+pub use view::{ListedInstance, RANGE_COUNT, View};
--- a/crates/members/src/membership.rs
+++ b/crates/members/src/membership.rs
@@ -17,12 +17,12 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-use crate::message::{Datagram, Digest, Kind, Summary};
+use crate::message::{Datagram, Digest, Kind, RangeHashes};
 use crate::prober::{Prober, Timing};
 use crate::record::{Endpoint, Record, State};
 use crate::rumour::{Rumour, Rumours, Scope};
 use crate::sync::{self, Sync};
-use crate::view::{Listed, View};
+use crate::view::{ListedInstance, View};
 
 /// The number of members that are asked to ping a member that did not acknowledge.
 const INDIRECT_PROBES: usize = 3;
@@ -57,7 +57,7 @@
 /// minutes.
 const RECORD_RETENTION: Duration = Duration::from_hours(1);
 
-/// The maximum number of state changes kept for [`Membership::take_changed`].
+/// The maximum number of state changes kept for [`Membership::take_state_changes`].
 const MAX_STATE_CHANGES: usize = 1024;
 
 /// The maximum number of reports kept for [`Membership::take_reports`].
@@ -97,7 +97,7 @@
     leaving_searchers: Vec<Rumour>,
     /// The reports received since [`Membership::take_reports`] was last called.
     reports: Vec<Report>,
-    /// The state changes since [`Membership::take_changed`] was last called.
+    /// The state changes since [`Membership::take_state_changes`] was last called.
     state_changes: Vec<(Endpoint, State)>,
     started: Instant,
     /// Whether the view has been complete at some time, as far as other members could tell.
@@ -159,7 +159,7 @@
     /// members could tell.
     ///
     /// Until then, decisions that depend on the number of members must not rely on it.
-    pub fn is_settled(&self, now: Instant) -> bool {
+    pub fn is_converged(&self, now: Instant) -> bool {
         let age = self.age(now);
         self.converged
             || age >= CONVERGENCE_TIMEOUT
@@ -176,7 +176,7 @@
         let stated = self
             .stated_size
             .filter(|(at, _)| now.saturating_duration_since(*at) < STATED_SIZE_LIFETIME);
-        self.view.count_working().max(stated.map_or(0, |(_, stated)| stated as usize))
+        self.view.available_count().max(stated.map_or(0, |(_, stated)| stated as usize))
     }
 
     /// Replaces the seeds.
@@ -187,41 +187,46 @@
     }
 
     /// Applies the platform's list of instances.
-    pub fn apply_list(&mut self, now: Instant, list: &[Listed]) {
+    pub fn apply_list(&mut self, now: Instant, list: &[ListedInstance]) {
         for record in self.view.apply_list(list) {
             self.rumours.add(now, Rumour::Member(record), Scope::Zone);
         }
     }
 
     /// Gossips a rumour to all zones.
-    pub fn spread(&mut self, now: Instant, rumour: Rumour) {
+    pub fn gossip(&mut self, now: Instant, rumour: Rumour) {
         self.rumours.add(now, rumour, Scope::AllZones);
     }
 
     /// Merges records received outside of datagrams; they are not gossiped.
-    pub fn learn_all(&mut self, now: Instant, records: &[Record]) {
+    pub fn merge_records(&mut self, now: Instant, records: &[Record]) {
         for record in records {
             self.merge(now, record, Source::Comparison);
         }
     }
 
     /// Moves this member to a final state and returns the datagrams that announce it.
-    pub fn farewell(&mut self, now: Instant, state: State, digest: Digest) -> Vec<Outgoing> {
+    pub fn announce_departure(
+        &mut self,
+        now: Instant,
+        state: State,
+        digest: Digest,
+    ) -> Vec<Outgoing> {
         self.me.state = self.me.state.max(state);
         self.gossip_self(now);
-        let mut out = self.announce(digest);
+        let mut out = self.announce_digest(digest);
         self.push(now, digest, &mut out);
         out
     }
 
     /// Returns datagrams that announce the digest to a few members.
-    pub fn announce(&mut self, digest: Digest) -> Vec<Outgoing> {
+    pub fn announce_digest(&mut self, digest: Digest) -> Vec<Outgoing> {
         let targets = self.sample(ANNOUNCE_FANOUT, |_| true);
-        targets.into_iter().map(|to| self.probe_datagram(to, Kind::News, digest)).collect()
+        targets.into_iter().map(|to| self.probe_datagram(to, Kind::Gossip, digest)).collect()
     }
 
     /// Returns the number of rumours that are still gossiped.
-    pub fn rumours(&self) -> usize {
+    pub fn rumour_count(&self) -> usize {
         self.rumours.len()
     }
 
@@ -231,7 +236,7 @@
     }
 
     /// Returns the searchers that peers reported as leaving since the last call.
-    pub fn take_leaving(&mut self) -> Vec<Rumour> {
+    pub fn take_leaving_searchers(&mut self) -> Vec<Rumour> {
         std::mem::take(&mut self.leaving_searchers)
     }
 
@@ -241,12 +246,12 @@
     }
 
     /// Gossips, within the local zone, a rumour that was received from another member.
-    pub fn pass_on(&mut self, now: Instant, rumour: Rumour) {
+    pub fn gossip_in_zone(&mut self, now: Instant, rumour: Rumour) {
         self.rumours.add(now, rumour, Scope::Zone);
     }
 
     /// Returns the state changes since the last call, limited to the first [`MAX_STATE_CHANGES`].
-    pub fn take_changed(&mut self) -> Vec<(Endpoint, State)> {
+    pub fn take_state_changes(&mut self) -> Vec<(Endpoint, State)> {
         std::mem::take(&mut self.state_changes)
     }
 
@@ -278,7 +283,7 @@
             && let Some(peer) = self.sync.start(now, self.view.changes(), self.converged)
         {
             let peer = if self.converged { peer } else { self.comparison_peer().unwrap_or(peer) };
-            let summary = Summary(*self.view.ranges());
+            let summary = RangeHashes(*self.view.ranges());
             out.push(self.datagram(peer, Kind::Compare(Box::new(summary)), digest, Vec::new()));
         }
         out
@@ -293,7 +298,7 @@
         self.heard_from_others = true;
         let gossip = Source::Gossip(Scope::Zone);
         self.merge(now, &datagram.from, gossip);
-        let source = if datagram.kind == Kind::Tell { Source::Comparison } else { gossip };
+        let source = if datagram.kind == Kind::Records { Source::Comparison } else { gossip };
         let mut outdated = Vec::new();
         for rumour in &datagram.rumours {
             match rumour {
@@ -325,11 +330,11 @@
                     |(origin, number)| self.probe_datagram(origin, Kind::Ack(number), digest);
                 relayed.map(forward).into_iter().collect()
             }
-            Kind::Ask(number, target) => {
+            Kind::PingRequest(number, target) => {
                 let sequence = self.prober.relay_ping(from, *number);
                 vec![self.probe_datagram(*target, Kind::Ping(sequence), digest)]
             }
-            Kind::News | Kind::Tell => Vec::new(),
+            Kind::Gossip | Kind::Records => Vec::new(),
             Kind::Join => {
                 let sample = sync::sample_for_join(&self.view, &datagram.from, &mut self.rng);
                 self.record_datagrams(from, &sample, digest)
@@ -337,23 +342,23 @@
             Kind::Compare(summary) => {
                 match sync::differing_hashes(&self.view, summary, &mut self.rng) {
                     Some(hashes) => {
-                        vec![self.datagram(from, Kind::Differ(hashes), digest, Vec::new())]
+                        vec![self.datagram(from, Kind::Differences(hashes), digest, Vec::new())]
                     }
                     None => self.record_datagrams(from, &[], digest),
                 }
             }
-            Kind::Differ(hashes) => {
+            Kind::Differences(hashes) => {
                 let (missing, wanted) = sync::missing_records(&self.view, hashes, &mut self.rng);
                 let mut out = Vec::new();
                 if !missing.is_empty() {
                     out = self.record_datagrams(from, &missing, digest);
                 }
-                if !wanted.prints.is_empty() {
-                    out.push(self.datagram(from, Kind::Want(wanted), digest, Vec::new()));
+                if !wanted.hashes.is_empty() {
+                    out.push(self.datagram(from, Kind::RecordRequest(wanted), digest, Vec::new()));
                 }
                 out
             }
-            Kind::Want(hashes) => {
+            Kind::RecordRequest(hashes) => {
                 let requested = sync::requested_records(&self.view, hashes, &mut self.rng);
                 self.record_datagrams(from, &requested, digest)
             }
@@ -370,7 +375,7 @@
         if digest.members >= stated {
             self.stated_size = Some((now, digest.members));
         }
-        let known = self.view.count_working() as f64;
+        let known = self.view.available_count() as f64;
         if same && known >= CONVERGED_FRACTION * f64::from(stated.max(digest.members)) {
             self.converged = true;
         }
@@ -444,7 +449,7 @@
             return;
         }
         self.next_join = now + self.join_interval;
-        let is_sole = self.view.count_working() <= 1;
+        let is_sole = self.view.available_count() <= 1;
         self.join_interval =
             if is_sole { MIN_JOIN_INTERVAL } else { MAX_JOIN_INTERVAL.min(self.join_interval * 2) };
         let is_known = |seed: &Endpoint| {
@@ -467,7 +472,7 @@
         };
         let peers = self.sample(INDIRECT_PROBES, |record| record.endpoint != target);
         for peer in peers {
-            out.push(self.probe_datagram(peer, Kind::Ask(number, target), digest));
+            out.push(self.probe_datagram(peer, Kind::PingRequest(number, target), digest));
         }
     }
 
--- a/crates/members/src/membership/sending.rs
+++ b/crates/members/src/membership/sending.rs
@@ -12,7 +12,7 @@
 use super::{Membership, Outgoing};
 use crate::message::{Datagram, Digest, Kind};
 use crate::record::{Endpoint, Record, State};
-use crate::rumour::{PER_DATAGRAM, Rumour, Scope};
+use crate::rumour::{MAX_RECORDS_PER_DATAGRAM, Rumour, Scope};
 
 /// The number of members of the local zone to which rumours are pushed. If each pushes on, all but
 /// one in twenty are reached; comparisons of views reach the others.
@@ -30,16 +30,21 @@
 
 impl Membership {
     /// Returns datagrams with the reports on requests that a member may lack.
-    pub fn inform(&self, to: Endpoint, reports: Vec<Report>, digest: Digest) -> Vec<Outgoing> {
+    pub fn report_datagrams(
+        &self,
+        to: Endpoint,
+        reports: Vec<Report>,
+        digest: Digest,
+    ) -> Vec<Outgoing> {
         let rumours: Vec<Rumour> = reports.into_iter().map(Rumour::Suspicion).collect();
         let chunks = rumours.chunks(REPORTS_PER_DATAGRAM);
-        chunks.map(|rumours| self.datagram(to, Kind::Tell, digest, rumours.to_vec())).collect()
+        chunks.map(|rumours| self.datagram(to, Kind::Records, digest, rumours.to_vec())).collect()
     }
 
     /// Pushes new rumours, in one datagram for each receiver: all of them to a few members of the
     /// local zone, and those that originate here to a few of each other zone.
     pub(super) fn push(&mut self, now: Instant, digest: Digest, out: &mut Vec<Outgoing>) {
-        if self.view.count_working() <= 1 {
+        if self.view.available_count() <= 1 {
             self.rumours.postpone_push(now);
             return;
         }
@@ -52,20 +57,20 @@
         let all: Vec<Rumour> = pushes.into_iter().map(|(_, rumour)| rumour).collect();
         let zone = Name::clone(&self.me.zone);
         for to in self.sample(LOCAL_PUSH_FANOUT, |record| record.zone == zone) {
-            out.push(self.datagram(to, Kind::News, digest, all.clone()));
+            out.push(self.datagram(to, Kind::Gossip, digest, all.clone()));
         }
         if originated.is_empty() {
             return;
         }
         for to in self.sample_other_zones() {
-            out.push(self.datagram(to, Kind::News, digest, originated.clone()));
+            out.push(self.datagram(to, Kind::Gossip, digest, originated.clone()));
         }
     }
 
     /// Returns a random sample of members of each other zone.
     pub(super) fn sample_other_zones(&mut self) -> Vec<Endpoint> {
         let mut zones = BTreeMap::<&Name, Vec<Endpoint>>::new();
-        for record in self.view.working().filter(|record| record.zone != self.me.zone) {
+        for record in self.view.available().filter(|record| record.zone != self.me.zone) {
             zones.entry(&record.zone).or_default().push(record.endpoint);
         }
         let rng = &mut self.rng;
@@ -95,7 +100,7 @@
     ) -> Vec<Endpoint> {
         let me = self.me.endpoint;
         let others =
-            self.view.working().filter(|record| record.endpoint != me && predicate(record));
+            self.view.available().filter(|record| record.endpoint != me && predicate(record));
         let others: Vec<_> = others.map(|record| record.endpoint).collect();
         others.sample(&mut self.rng, count).copied().collect()
     }
@@ -109,10 +114,10 @@
     ) -> Vec<Outgoing> {
         let rumours = |records: &[Record]| records.iter().cloned().map(Rumour::Member).collect();
         if records.is_empty() {
-            return vec![self.datagram(to, Kind::Tell, digest, Vec::new())];
+            return vec![self.datagram(to, Kind::Records, digest, Vec::new())];
         }
-        let chunks = records.chunks(PER_DATAGRAM);
-        chunks.map(|records| self.datagram(to, Kind::Tell, digest, rumours(records))).collect()
+        let chunks = records.chunks(MAX_RECORDS_PER_DATAGRAM);
+        chunks.map(|records| self.datagram(to, Kind::Records, digest, rumours(records))).collect()
     }
 
     /// Returns a datagram with piggybacked rumours.
@@ -129,7 +134,7 @@
         digest: Digest,
         mut rumours: Vec<Rumour>,
     ) -> Outgoing {
-        let members = self.view.count_working() as u32;
+        let members = self.view.available_count() as u32;
         let digest = Digest { view: self.view.hash(), members, ..digest };
         // A member that is not alive in the local view is sent its record in every datagram, also
         // long after the rumour has expired; otherwise it could never refute a suspicion.
--- a/crates/members/src/message.rs
+++ b/crates/members/src/message.rs
@@ -6,7 +6,7 @@
 
 use crate::record::{Endpoint, Record};
 use crate::rumour::Rumour;
-use crate::view::RANGES;
+use crate::view::RANGE_COUNT;
 
 /// A summary of the sender's state, from which the receiver detects which of the two is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,59 +47,60 @@
     Ack(u64),
     /// Requests an indirect probe: the receiver pings the endpoint on the sender's behalf.
     #[serde(rename = "q")]
-    Ask(u64, Endpoint),
+    PingRequest(u64, Endpoint),
     /// Carries gossip; requires no answer.
     #[serde(rename = "n")]
-    News,
+    Gossip,
     /// Requests some members from a seed.
     #[serde(rename = "j")]
     Join,
     /// Starts a comparison of views: carries the sender's range hashes.
     #[serde(rename = "c")]
-    Compare(Box<Summary>),
+    Compare(Box<RangeHashes>),
     /// Carries the hashes of the sender's records in ranges in which the views differ.
     #[serde(rename = "f")]
-    Differ(Prints),
+    Differences(RecordHashes),
     /// Requests the records with these hashes.
     #[serde(rename = "w")]
-    Want(Prints),
-    /// Carries records that the receiver lacks. The receiver does not gossip them.
+    RecordRequest(RecordHashes),
+    /// Carries records, or reports on requests, that the receiver lacks. Records received this way
+    /// are not gossiped further.
     #[serde(rename = "t")]
-    Tell,
+    Records,
 }
 
 /// The hash of each range of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "ByteBuf", into = "ByteBuf")]
-pub struct Summary(pub [u32; RANGES]);
+pub struct RangeHashes(pub [u32; RANGE_COUNT]);
 
-impl From<Summary> for ByteBuf {
-    fn from(summary: Summary) -> Self {
+impl From<RangeHashes> for ByteBuf {
+    fn from(summary: RangeHashes) -> Self {
         pack(&summary.0)
     }
 }
 
-impl TryFrom<ByteBuf> for Summary {
+impl TryFrom<ByteBuf> for RangeHashes {
     type Error = String;
 
     fn try_from(bytes: ByteBuf) -> Result<Self, String> {
         let ranges = unpack(&bytes)?;
         let found = ranges.len();
         let ranges =
-            ranges.try_into().map_err(|_ranges| format!("{found} ranges, not {RANGES}"))?;
+            ranges.try_into().map_err(|_ranges| format!("{found} ranges, not {RANGE_COUNT}"))?;
         Ok(Self(ranges))
     }
 }
 
 /// The short hashes of the records in some ranges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Prints {
+pub struct RecordHashes {
     /// The ranges, as a bit set.
     #[serde(rename = "r")]
     pub ranges: u64,
     /// The short hashes.
     #[serde(rename = "p", with = "packed")]
-    pub prints: Vec<u32>,
+    pub hashes: Vec<u32>,
 }
 
 /// Encodes short hashes as a byte string: four bytes each, where CBOR integers take five.
@@ -108,8 +109,8 @@
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use serde_bytes::ByteBuf;
 
-    pub(super) fn serialize<S: Serializer>(prints: &[u32], to: S) -> Result<S::Ok, S::Error> {
-        super::pack(prints).serialize(to)
+    pub(super) fn serialize<S: Serializer>(hashes: &[u32], to: S) -> Result<S::Ok, S::Error> {
+        super::pack(hashes).serialize(to)
     }
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u32>, D::Error> {
--- a/crates/members/src/reader.rs
+++ b/crates/members/src/reader.rs
@@ -17,12 +17,12 @@
 
 /// Returns the readers: the `per_zone` members of the highest rendezvous weight in each zone.
 pub fn readers(view: &View, per_zone: usize) -> Vec<Endpoint> {
-    let zones = ranked(view, |record| Name::clone(&record.zone));
+    let zones = rank_members(view, |record| Name::clone(&record.zone));
     zones.into_values().flat_map(|zone| zone.into_iter().take(per_zone)).collect()
 }
 
 /// Groups the members that accept work, and sorts each group by rendezvous weight, highest first.
-pub fn ranked(view: &View, group: impl Fn(&Record) -> Name) -> BTreeMap<Name, Vec<Endpoint>> {
+pub fn rank_members(view: &View, group: impl Fn(&Record) -> Name) -> BTreeMap<Name, Vec<Endpoint>> {
     let mut groups = BTreeMap::<Name, Vec<(u64, Endpoint)>>::new();
     for record in view.iter().filter(|record| view.takes_work(record.endpoint)) {
         let weight = hash_pair(record.endpoint.hash(), SALT);
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -79,7 +79,7 @@
     ///
     /// An unreachable member does: otherwise both sides of a network partition would move its cells
     /// to further members.
-    pub fn keeps_place(self) -> bool {
+    pub fn is_placement_candidate(self) -> bool {
         self < Self::Leaving
     }
 
--- a/crates/members/src/rumour.rs
+++ b/crates/members/src/rumour.rs
@@ -24,7 +24,7 @@
 
 /// The maximum number of records in a datagram without piggybacking. At about 52 bytes a record,
 /// they fit one packet.
-pub const PER_DATAGRAM: usize = 20;
+pub const MAX_RECORDS_PER_DATAGRAM: usize = 20;
 
 /// The maximum number of queued rumours; the oldest are dropped first.
 const MAX_QUEUED: usize = 4096;
@@ -158,7 +158,7 @@
         });
         let mut pushes: Vec<_> = pushes.collect();
         pushes.sort_by_key(|(scope, _)| std::cmp::Reverse(*scope));
-        pushes.truncate(PER_DATAGRAM);
+        pushes.truncate(MAX_RECORDS_PER_DATAGRAM);
         pushes
     }
 
--- a/crates/members/src/suspicions.rs
+++ b/crates/members/src/suspicions.rs
@@ -50,15 +50,15 @@
     }
 
     /// Gossips the reports that originate at this member.
-    pub fn spread(&self, now: Instant, membership: &mut Membership) {
+    pub fn gossip_new(&self, now: Instant, membership: &mut Membership) {
         for report in self.quarantine.take_news(now) {
-            membership.spread(now, Rumour::Suspicion(report));
+            membership.gossip(now, Rumour::Suspicion(report));
         }
     }
 
     /// Merges reports received from other members, gossips those that were new, and returns the
     /// fingerprints of their requests.
-    pub fn hear(&self, now: Instant, membership: &mut Membership) -> Vec<Fingerprint> {
+    pub fn merge_received(&self, now: Instant, membership: &mut Membership) -> Vec<Fingerprint> {
         let mut updated = Vec::new();
         for report in membership.take_reports() {
             if !self.quarantine.merge(now, &report) {
@@ -66,7 +66,7 @@
             }
             updated.push(report.fingerprint);
             if let Some(known) = self.quarantine.report(now, report.fingerprint) {
-                membership.pass_on(now, Rumour::Suspicion(known));
+                membership.gossip_in_zone(now, Rumour::Suspicion(known));
             }
         }
         updated
@@ -74,8 +74,8 @@
 
     /// Marks the quarantine as informed once the view has converged or [`INFORM_TIMEOUT`] has
     /// passed.
-    pub fn settle(&self, now: Instant, membership: &Membership) {
-        let is_informed = membership.is_settled(now) || membership.age(now) >= INFORM_TIMEOUT;
+    pub fn update_informed(&self, now: Instant, membership: &Membership) {
+        let is_informed = membership.is_converged(now) || membership.age(now) >= INFORM_TIMEOUT;
         if is_informed && !self.quarantine.is_informed() {
             self.quarantine.set_informed(true);
         }
@@ -85,7 +85,7 @@
     ///
     /// Marks the quarantine as informed if the sender holds the same reports and has the latest
     /// published state, which shows that it has not just started itself.
-    pub fn inform(
+    pub fn send_missing(
         &mut self,
         now: Instant,
         membership: &Membership,
@@ -114,6 +114,6 @@
         reports.rotate_left(first);
         reports.truncate(MAX_REPORTS_SENT);
         self.next_index = first + reports.len();
-        membership.inform(datagram.from.endpoint, reports, digest)
+        membership.report_datagrams(datagram.from.endpoint, reports, digest)
     }
 }
--- a/crates/members/src/sync.rs
+++ b/crates/members/src/sync.rs
@@ -14,10 +14,10 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 
-use crate::message::{Prints, Summary};
+use crate::message::{RangeHashes, RecordHashes};
 use crate::record::{Endpoint, Record};
-use crate::rumour::PER_DATAGRAM;
-use crate::view::{RANGES, View, range, short_hash};
+use crate::rumour::MAX_RECORDS_PER_DATAGRAM;
+use crate::view::{RANGE_COUNT, View, range, short_hash};
 
 /// The minimum interval between two comparisons that a member starts: several round trips within a
 /// region, so that the previous one has finished.
@@ -92,22 +92,26 @@
 }
 
 /// Returns the short hashes of the records in ranges that differ, as many ranges as fit.
-pub(crate) fn differing_hashes(view: &View, peer: &Summary, rng: &mut StdRng) -> Option<Prints> {
+pub(crate) fn differing_hashes(
+    view: &View,
+    peer: &RangeHashes,
+    rng: &mut StdRng,
+) -> Option<RecordHashes> {
     let differs = |range: &usize| view.ranges()[*range] != peer.0[*range];
-    let mut differing: Vec<usize> = (0..RANGES).filter(differs).collect();
+    let mut differing: Vec<usize> = (0..RANGE_COUNT).filter(differs).collect();
     differing.shuffle(rng);
-    let mut hashes = vec![Vec::new(); RANGES];
-    for record in view.working() {
+    let mut hashes = vec![Vec::new(); RANGE_COUNT];
+    for record in view.available() {
         hashes[range(record.endpoint)].push(short_hash(record));
     }
-    let mut answer = Prints { ranges: 0, prints: Vec::new() };
+    let mut answer = RecordHashes { ranges: 0, hashes: Vec::new() };
     for range in differing {
         let in_range = &hashes[range];
-        if answer.ranges != 0 && answer.prints.len() + in_range.len() > MAX_HASHES {
+        if answer.ranges != 0 && answer.hashes.len() + in_range.len() > MAX_HASHES {
             break;
         }
         answer.ranges |= 1 << range;
-        answer.prints.extend(in_range.iter().take(MAX_HASHES));
+        answer.hashes.extend(in_range.iter().take(MAX_HASHES));
     }
     (answer.ranges != 0).then_some(answer)
 }
@@ -115,26 +119,30 @@
 /// Returns the records that the peer lacks and the short hashes of those that are missing here.
 pub(crate) fn missing_records(
     view: &View,
-    peer: &Prints,
+    peer: &RecordHashes,
     rng: &mut StdRng,
-) -> (Vec<Record>, Prints) {
-    let mut wanted: BTreeSet<u32> = peer.prints.iter().copied().collect();
+) -> (Vec<Record>, RecordHashes) {
+    let mut wanted: BTreeSet<u32> = peer.hashes.iter().copied().collect();
     let in_ranges = |record: &&Record| peer.ranges & (1 << range(record.endpoint)) != 0;
     let mut records = Vec::new();
-    for record in view.working().filter(in_ranges) {
+    for record in view.available().filter(in_ranges) {
         if !wanted.remove(&short_hash(record)) {
             records.push(record.clone());
         }
     }
     truncate(&mut records, rng);
-    let prints = wanted.into_iter().take(MAX_HASHES).collect();
-    (records, Prints { ranges: peer.ranges, prints })
+    let hashes = wanted.into_iter().take(MAX_HASHES).collect();
+    (records, RecordHashes { ranges: peer.ranges, hashes })
 }
 
 /// Returns the records that a peer requested.
-pub(crate) fn requested_records(view: &View, request: &Prints, rng: &mut StdRng) -> Vec<Record> {
-    let hashes: BTreeSet<u32> = request.prints.iter().copied().collect();
-    let known = view.working().filter(|record| hashes.contains(&short_hash(record)));
+pub(crate) fn requested_records(
+    view: &View,
+    request: &RecordHashes,
+    rng: &mut StdRng,
+) -> Vec<Record> {
+    let hashes: BTreeSet<u32> = request.hashes.iter().copied().collect();
+    let known = view.available().filter(|record| hashes.contains(&short_hash(record)));
     let mut records = known.cloned().collect();
     truncate(&mut records, rng);
     records
@@ -143,21 +151,22 @@
 /// Returns a sample of members for one that has just started. Half of them are of its zone, if it
 /// has as many.
 pub(crate) fn sample_for_join(view: &View, joining: &Record, rng: &mut StdRng) -> Vec<Record> {
-    let others = view.working().filter(|record| record.endpoint != joining.endpoint);
+    let others = view.available().filter(|record| record.endpoint != joining.endpoint);
     let (mut local, mut remote): (Vec<_>, Vec<_>) =
         others.partition(|other| other.zone == joining.zone);
     local.shuffle(rng);
     remote.shuffle(rng);
-    let from_local =
-        local.len().min((PER_DATAGRAM / 2).max(PER_DATAGRAM.saturating_sub(remote.len())));
+    let from_local = local.len().min(
+        (MAX_RECORDS_PER_DATAGRAM / 2).max(MAX_RECORDS_PER_DATAGRAM.saturating_sub(remote.len())),
+    );
     local.truncate(from_local);
-    remote.truncate(PER_DATAGRAM - from_local);
+    remote.truncate(MAX_RECORDS_PER_DATAGRAM - from_local);
     local.into_iter().chain(remote).cloned().collect()
 }
 
 /// Truncates the records to a random selection of as many as may be sent at once.
 fn truncate(records: &mut Vec<Record>, rng: &mut StdRng) {
-    let max = PER_DATAGRAM * MAX_RECORD_DATAGRAMS;
+    let max = MAX_RECORDS_PER_DATAGRAM * MAX_RECORD_DATAGRAMS;
     if records.len() > max {
         records.shuffle(rng);
         records.truncate(max);
--- a/crates/members/src/view.rs
+++ b/crates/members/src/view.rs
@@ -16,7 +16,7 @@
 
 /// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// The IPv4 address of the instance.
     pub ip: Ipv4Addr,
     /// The availability zone.
@@ -29,7 +29,7 @@
 ///
 /// At 1,800 members a range has 28 records, so the short hashes of one range take 112 bytes; the
 /// hashes of all ranges fit one datagram at any fleet size.
-pub const RANGES: usize = 64;
+pub const RANGE_COUNT: usize = 64;
 
 /// One member's view of all members.
 #[derive(Clone, Debug)]
@@ -38,8 +38,8 @@
     listed: BTreeSet<Ipv4Addr>,
     listed_leaving: BTreeSet<Ipv4Addr>,
     hash: u64,
-    ranges: [u32; RANGES],
-    working: usize,
+    ranges: [u32; RANGE_COUNT],
+    available: usize,
     changes: u64,
 }
 
@@ -50,8 +50,8 @@
             listed: BTreeSet::new(),
             listed_leaving: BTreeSet::new(),
             hash: 0,
-            ranges: [0; RANGES],
-            working: 0,
+            ranges: [0; RANGE_COUNT],
+            available: 0,
             changes: 0,
         }
     }
@@ -59,7 +59,7 @@
 
 /// Returns the range of an endpoint.
 pub(crate) fn range(endpoint: Endpoint) -> usize {
-    (endpoint.hash() % RANGES as u64) as usize
+    (endpoint.hash() % RANGE_COUNT as u64) as usize
 }
 
 /// Returns a 32-bit hash of a record.
@@ -93,7 +93,7 @@
         }
         self.hash ^= record.hash();
         self.ranges[range(record.endpoint)] ^= short_hash(record);
-        self.working = if added { self.working + 1 } else { self.working - 1 };
+        self.available = if added { self.available + 1 } else { self.available - 1 };
     }
 
     /// Removes a member that does not accept work.
@@ -108,7 +108,7 @@
     ///
     /// Records known from other sources are unchanged, except that an unreachable member that is no
     /// longer listed is marked as left.
-    pub fn apply_list(&mut self, list: &[Listed]) -> Vec<Record> {
+    pub fn apply_list(&mut self, list: &[ListedInstance]) -> Vec<Record> {
         self.listed = list.iter().map(|listed| listed.ip).collect();
         self.listed_leaving =
             list.iter().filter(|listed| listed.leaving).map(|listed| listed.ip).collect();
@@ -151,10 +151,10 @@
     }
 
     /// Iterates over the members of a role that stay in the placement of cells.
-    pub fn placed(&self, role: Role) -> impl Iterator<Item = &Record> {
-        self.records
-            .values()
-            .filter(move |record| record.endpoint.role == role && record.state.keeps_place())
+    pub fn placement_candidates(&self, role: Role) -> impl Iterator<Item = &Record> {
+        self.records.values().filter(move |record| {
+            record.endpoint.role == role && record.state.is_placement_candidate()
+        })
     }
 
     /// Returns whether new work may be sent to an endpoint.
@@ -169,24 +169,24 @@
     }
 
     /// Returns the hash of each range.
-    pub(crate) fn ranges(&self) -> &[u32; RANGES] {
+    pub(crate) fn ranges(&self) -> &[u32; RANGE_COUNT] {
         &self.ranges
     }
 
     /// Iterates over the members that accept work.
-    pub fn working(&self) -> impl Iterator<Item = &Record> {
+    pub fn available(&self) -> impl Iterator<Item = &Record> {
         self.records.values().filter(|record| record.state.takes_work())
     }
 
     /// Returns the number of members that accept work.
-    pub fn count_working(&self) -> usize {
-        self.working
+    pub fn available_count(&self) -> usize {
+        self.available
     }
 
     /// Returns a hash of the gathers in the placement of cells and of whether each is reachable. It
     /// changes only if the homes of cells may have to change.
-    pub fn places_hash(&self) -> u64 {
-        self.placed(Role::Gather).fold(0, |sum, record| {
+    pub fn placement_hash(&self) -> u64 {
+        self.placement_candidates(Role::Gather).fold(0, |sum, record| {
             let reachable = u64::from(record.state.takes_work());
             sum ^ hash_pair(record.endpoint.hash() ^ reachable, hash_bytes(record.zone.as_bytes()))
         })
--- a/crates/members/tests/filetests.rs
+++ b/crates/members/tests/filetests.rs
@@ -9,7 +9,7 @@
 use bergamot_base::{Name, Seed};
 use bergamot_filetest::{check, trace};
 use bergamot_members::{
-    Digest, Endpoint, Listed, Membership, Outgoing, Record, Role, State, Timing, View,
+    Digest, Endpoint, ListedInstance, Membership, Outgoing, Record, Role, State, Timing, View,
 };
 
 fn view(path: &Path) -> Result<(), Box<dyn Error>> {
@@ -32,14 +32,15 @@
                     Some(name) => (name, true),
                     None => (*item, false),
                 };
-                Listed { ip: endpoint(name).ip, zone: Name::from("z"), leaving }
+                ListedInstance { ip: endpoint(name).ip, zone: Name::from("z"), leaving }
             };
             let news = view.apply_list(&items.iter().map(listed).collect::<Vec<_>>());
             news.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
         }
         ["takes_work", member] => view.takes_work(endpoint(member)).to_string(),
         ["placed"] => {
-            let placed = view.placed(Role::Gather).map(|record| record.endpoint.to_string());
+            let placed =
+                view.placement_candidates(Role::Gather).map(|record| record.endpoint.to_string());
             placed.collect::<Vec<_>>().join(" ")
         }
         ["dump"] => view.to_string().trim_end().replace('\n', " | "),
@@ -110,7 +111,7 @@
             }
             ["leave", member] => {
                 let leaver = self.members.get_mut(&endpoint(member)).expect("is started");
-                let out = leaver.farewell(now, State::Leaving, Digest::default());
+                let out = leaver.announce_departure(now, State::Leaving, Digest::default());
                 self.deliver(now, out);
                 self.states()
             }
@@ -128,7 +129,7 @@
         let me = record(member, "1", "0", "alive");
         let (at, rng) = (me.endpoint, Seed(1).generator(member));
         let mut membership = Membership::new(now, timing, me, Vec::new(), rng);
-        membership.learn_all(now, known);
+        membership.merge_records(now, known);
         self.members.insert(at, membership);
     }
 
--- a/crates/members/tests/incarnation.rs
+++ b/crates/members/tests/incarnation.rs
@@ -26,7 +26,7 @@
     let mut membership = Membership::new(now, timing, me, Vec::new(), rng);
     // A peer still holds the departure of the previous incarnation, whose clock was ahead.
     let datagram = Datagram {
-        kind: Kind::News,
+        kind: Kind::Gossip,
         from: record(2, 7, State::Alive),
         digest: Digest::default(),
         rumours: vec![Rumour::Member(record(1, 900, State::Leaving))],
--- a/crates/members/tests/suspicions.rs
+++ b/crates/members/tests/suspicions.rs
@@ -38,7 +38,7 @@
 /// Returns a datagram of another member that has the latest published state, or has not.
 fn datagram(fresh: bool) -> Datagram {
     let digest = Digest { fresh, ..Digest::default() };
-    Datagram { kind: Kind::News, from: record(2), digest, rumours: Vec::new() }
+    Datagram { kind: Kind::Gossip, from: record(2), digest, rumours: Vec::new() }
 }
 
 /// Guards against refusing the callers of a single instance while it waits for other members.
@@ -46,7 +46,7 @@
 fn a_sole_member_accepts_requests_at_once() {
     let now = Instant::now();
     let (quarantine, suspicions, membership) = start(now);
-    suspicions.settle(now, &membership);
+    suspicions.update_informed(now, &membership);
     assert!(quarantine.is_informed());
 }
 
@@ -54,9 +54,9 @@
 fn a_member_that_hears_from_another_waits_for_a_fresh_one() {
     let now = Instant::now();
     let (quarantine, mut suspicions, membership) = start(now);
-    suspicions.inform(now, &membership, &datagram(false), Digest::default());
+    suspicions.send_missing(now, &membership, &datagram(false), Digest::default());
     assert!(!quarantine.is_informed());
-    suspicions.inform(now, &membership, &datagram(true), Digest::default());
+    suspicions.send_missing(now, &membership, &datagram(true), Digest::default());
     assert!(quarantine.is_informed());
 }
 
@@ -65,9 +65,9 @@
 fn a_member_waits_only_until_the_timeout() {
     let now = Instant::now();
     let (quarantine, mut suspicions, membership) = start(now);
-    suspicions.inform(now, &membership, &datagram(false), Digest::default());
-    suspicions.settle(now + Duration::from_millis(200), &membership);
+    suspicions.send_missing(now, &membership, &datagram(false), Digest::default());
+    suspicions.update_informed(now + Duration::from_millis(200), &membership);
     assert!(!quarantine.is_informed());
-    suspicions.settle(now + Duration::from_millis(400), &membership);
+    suspicions.update_informed(now + Duration::from_millis(400), &membership);
     assert!(quarantine.is_informed());
 }
--- a/crates/model/src/fleet/net.rs
+++ b/crates/model/src/fleet/net.rs
@@ -198,7 +198,7 @@
             let strike = Strike { id, trial: true, searcher: id, cleared: false };
             quarantine.accuse(now, FATAL, strike, &Name::from("shard"));
         }
-        suspicions.spread(now, member);
+        suspicions.gossip_new(now, member);
         self.set_timer(number);
     }
 
@@ -271,8 +271,8 @@
         let digest = instance.digest();
         let Instance { member: Some(member), suspicions, .. } = instance else { return };
         let mut out = member.receive(now, &datagram, digest);
-        suspicions.hear(now, member);
-        out.extend(suspicions.inform(now, member, &datagram, digest));
+        suspicions.merge_received(now, member);
+        out.extend(suspicions.send_missing(now, member, &datagram, digest));
         instance.busy_until = self.now + micros(self.fleet.work);
         self.send(to, out);
         self.set_timer(to);
@@ -321,15 +321,15 @@
         let mut mourned = 0;
         for view in living().map(Membership::view) {
             let wrongly = dead.iter().filter(|dead| view.takes_work(**dead)).count();
-            known.push(view.count_working() - wrongly);
+            known.push(view.available_count() - wrongly);
             mourned = mourned.max(wrongly);
         }
         let all = known.len().max(1) as f64;
         known.sort_unstable();
         let share = |index: usize| known.get(index).map_or(1.0, |known| *known as f64 / all);
         let same = |view: &View| {
-            let mut others = living().map(|member| member.view().working().map(place));
-            others.all(|other| view.working().map(place).eq(other))
+            let mut others = living().map(|member| member.view().available().map(place));
+            others.all(|other| view.available().map(place).eq(other))
         };
         let now = self.instant();
         let condemns = |instance: &&Instance| {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_members::{Datagram, Role, Rumour};
-use bergamot_wire::LARGEST_DATAGRAM;
+use bergamot_wire::MAX_DATAGRAM_LEN;
 
 use crate::node::{Control, Node};
 use crate::pulls;
@@ -14,7 +14,7 @@
 
 /// Runs the control loop until the node closes.
 pub(crate) async fn run(node: Arc<Node>) {
-    let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_LEN + 1];
     loop {
         let due = node.lock().membership.due();
         tokio::select! {
@@ -41,9 +41,9 @@
     let now = Instant::now();
     let mut out = control.membership.receive(now, datagram, digest);
     let Control { membership, suspicions, .. } = &mut *control;
-    let heard = suspicions.hear(now, membership);
-    out.extend(suspicions.inform(now, membership, datagram, digest));
-    let leaving = control.membership.take_leaving();
+    let heard = suspicions.merge_received(now, membership);
+    out.extend(suspicions.send_missing(now, membership, datagram, digest));
+    let leaving = control.membership.take_leaving_searchers();
     if control.membership.view().changes() != changes {
         node.refresh_homes(&mut control);
     }
@@ -64,7 +64,7 @@
 fn spread(node: &Arc<Node>) {
     let mut control = node.lock();
     let Control { membership, suspicions, .. } = &mut *control;
-    suspicions.spread(Instant::now(), membership);
+    suspicions.gossip_new(Instant::now(), membership);
 }
 
 fn tick(node: &Arc<Node>) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -171,7 +171,7 @@
             let out = {
                 let mut control = self.lock();
                 let digest = control.digest();
-                control.membership.farewell(Instant::now(), state, digest)
+                control.membership.announce_departure(Instant::now(), state, digest)
             };
             self.transmit(out);
             tokio::time::sleep(FAREWELL).await;
@@ -229,7 +229,7 @@
     pub fn report_leaving(&self, searcher: SocketAddr, run: Name) {
         self.remember_leaving(searcher, Name::clone(&run));
         let rumour = Rumour::Leaving { searcher, run };
-        self.lock().membership.spread(Instant::now(), rumour);
+        self.lock().membership.gossip(Instant::now(), rumour);
     }
 
     /// Takes in the word that a searcher is leaving.
@@ -300,7 +300,7 @@
 
     /// Returns how much news this node still passes on.
     pub fn rumours(&self) -> usize {
-        self.lock().membership.rumours()
+        self.lock().membership.rumour_count()
     }
 
     /// Returns the metrics of the node.
@@ -348,7 +348,7 @@
                 control.homes_of = (0, 0);
                 self.refresh_homes(&mut control);
                 let digest = control.digest();
-                let out = control.membership.announce(digest);
+                let out = control.membership.announce_digest(digest);
                 drop(control);
                 self.transmit(out);
                 log::info!("config: Revision {revision} is in force.");
@@ -369,12 +369,12 @@
         let Some(current) = self.current() else {
             return;
         };
-        let key = (current.document.hash, control.membership.view().places_hash());
+        let key = (current.document.hash, control.membership.view().placement_hash());
         if control.homes_of == key {
             return;
         }
         control.homes_of = key;
-        let gathers = control.membership.view().placed(Role::Gather);
+        let gathers = control.membership.view().placement_candidates(Role::Gather);
         let homes = Homes::compute(&current.document.layout, current.document.regions(), gathers);
         self.homes.store(Arc::new(homes));
         self.changed.send_modify(|count| *count += 1);
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -13,7 +13,7 @@
 
 use bergamot_base::{Name, hash_bytes};
 use bergamot_config::Document;
-use bergamot_members::{Listed, readers};
+use bergamot_members::{ListedInstance, readers};
 use bergamot_net::{Reply, fetch};
 use hyper::StatusCode;
 use rand::RngExt;
@@ -110,7 +110,7 @@
     for item in items {
         let leaving = &*item.state == "leaving";
         if let Ok(ip) = item.address.parse() {
-            instances.push(Listed { ip, zone: Name::clone(&item.zone), leaving });
+            instances.push(ListedInstance { ip, zone: Name::clone(&item.zone), leaving });
         } else if let Ok(searcher) = item.address.parse::<SocketAddr>() {
             if leaving {
                 listed_leaving.insert(searcher);
--- a/crates/node/src/pulls.rs
+++ b/crates/node/src/pulls.rs
@@ -7,7 +7,7 @@
 use bergamot_config::{Document, Parcel, Refusal, Verdict};
 use bergamot_members::{Datagram, Digest, Endpoint};
 use bergamot_net::Fault;
-use bergamot_wire::{Bundle, Pull, pull, serve_pulls};
+use bergamot_wire::{PullRequest, PullResponse, pull, serve_pulls};
 use rand::RngExt;
 use tokio::net::TcpListener;
 
@@ -32,20 +32,20 @@
     serve_pulls(listener, stop, move |request| answer(&node, &request)).await;
 }
 
-fn answer(node: &Node, request: &Pull) -> Bundle {
+fn answer(node: &Node, request: &PullRequest) -> PullResponse {
     let parcel = node
         .current()
         .filter(|current| current.document.revision > request.revision)
         .map(|current| Parcel::of(&current.document).without(&request.held));
     let Some(theirs) = &request.view else {
-        return Bundle { parcel, ..Bundle::default() };
+        return PullResponse { parcel, ..PullResponse::default() };
     };
     let mut control = node.lock();
     let view = control.membership.view().iter().cloned().collect();
-    control.membership.learn_all(Instant::now(), theirs);
+    control.membership.merge_records(Instant::now(), theirs);
     node.refresh_homes(&mut control);
     drop(control);
-    Bundle { parcel, view, leaving: node.leaving() }
+    PullResponse { parcel, view, leaving: node.leaving() }
 }
 
 /// Compares what a peer has in force with ours and pulls what we lack.
@@ -107,7 +107,7 @@
 async fn try_exchange(node: &Arc<Node>, peer: SocketAddr, with_view: bool) -> Result<(), Fault> {
     let current = node.current();
     let view = with_view.then(|| node.with_view(|view| view.iter().cloned().collect()));
-    let request = Pull {
+    let request = PullRequest {
         revision: current.as_ref().map_or(0, |current| current.document.revision),
         held: current
             .as_ref()
@@ -119,7 +119,7 @@
     node.meter().pull_bytes.inc_by(bytes as u64);
     if with_view {
         let mut control = node.lock();
-        control.membership.learn_all(Instant::now(), &bundle.view);
+        control.membership.merge_records(Instant::now(), &bundle.view);
         node.refresh_homes(&mut control);
     }
     for (searcher, run) in bundle.leaving {
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -16,7 +16,7 @@
 };
 use bergamot_net::Fault;
 use bergamot_quarantine::Shared as Quarantine;
-use bergamot_wire::LARGEST_DATAGRAM;
+use bergamot_wire::MAX_DATAGRAM_LEN;
 use rand::RngExt;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -148,7 +148,7 @@
 
     /// Tells whether the view was whole once in this run, as far as others could tell.
     pub fn is_settled(&self) -> bool {
-        self.lock().membership.is_settled(Instant::now())
+        self.lock().membership.is_converged(Instant::now())
     }
 
     /// Returns how many members there are, as far as it is known or others tell.
@@ -189,14 +189,14 @@
         for _ in 0..FAREWELLS {
             let mut control = self.lock();
             let digest = control.digest();
-            let out = control.membership.farewell(Instant::now(), State::Leaving, digest);
+            let out = control.membership.announce_departure(Instant::now(), State::Leaving, digest);
             drop(control);
             self.transmit(out);
         }
     }
 
     async fn run(self: Arc<Self>) {
-        let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_LEN + 1];
         loop {
             let due = self.lock().membership.due();
             tokio::select! {
@@ -229,7 +229,7 @@
     fn spread(&self) {
         let mut control = self.lock();
         let Control { membership, suspicions, .. } = &mut *control;
-        suspicions.spread(Instant::now(), membership);
+        suspicions.gossip_new(Instant::now(), membership);
     }
 
     /// Tells a member what it may lack of requests.
@@ -237,7 +237,7 @@
         let mut control = self.lock();
         let digest = control.digest();
         let Control { membership, suspicions, .. } = &mut *control;
-        let out = suspicions.inform(Instant::now(), membership, datagram, digest);
+        let out = suspicions.send_missing(Instant::now(), membership, datagram, digest);
         drop(control);
         self.transmit(out);
     }
@@ -253,13 +253,13 @@
         let digest = control.digest();
         let out = happen(&mut control.membership, digest);
         let Control { membership, changes, suspicions, .. } = &mut *control;
-        let heard = suspicions.hear(now, membership);
-        suspicions.settle(now, membership);
-        for (member, state) in membership.take_changed() {
+        let heard = suspicions.merge_received(now, membership);
+        suspicions.update_informed(now, membership);
+        for (member, state) in membership.take_state_changes() {
             changes.note(now, state.label(), member.ip);
         }
         let lines = changes.take(now, false);
-        let alive = membership.view().count_working();
+        let alive = membership.view().available_count();
         drop(control);
         self.transmit(out);
         for fingerprint in heard {
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -12,7 +12,7 @@
 use bergamot_base::Name;
 use bergamot_declaration::Gather;
 use bergamot_dispatch::{Ending, Obstacle, Patience, Verdict, admit};
-use bergamot_wire::{Late, Shard, ShardReply};
+use bergamot_wire::{Late, ShardOutcome, ShardReply};
 use bytes::Bytes;
 use futures::future::BoxFuture;
 use futures::stream::{FuturesUnordered, StreamExt};
@@ -221,27 +221,27 @@
         let mut signatures = Vec::new();
         for (shard, found) in asked.shards.iter().copied().zip(found) {
             match found {
-                Shard::In(signature) => {
+                ShardOutcome::In(signature) => {
                     signatures.extend(self.accept(shard, read(&signature)));
                 }
-                Shard::Silent(searcher) => {
+                ShardOutcome::Silent(searcher) => {
                     self.worst = Ending::Unknown;
                     self.race(shard, vec![Tried::Searcher(searcher)]);
                 }
-                Shard::Failed(searcher) => {
+                ShardOutcome::Failed(searcher) => {
                     self.worst = Ending::Unknown;
                     self.relay.note_failure(&searcher);
                     self.race(shard, vec![Tried::Searcher(searcher)]);
                     self.close(shard);
                 }
-                Shard::Ended(searcher) => {
+                ShardOutcome::Ended(searcher) => {
                     self.worst = Ending::Unknown;
                     self.relay.note_failure(&searcher);
                     self.job.door.hold();
                     self.race(shard, vec![Tried::Searcher(searcher)]);
                     self.close(shard);
                 }
-                Shard::NotAsked => {
+                ShardOutcome::NotAsked => {
                     self.race(shard, Vec::new());
                     self.close(shard);
                 }
--- a/crates/relay/src/helper.rs
+++ b/crates/relay/src/helper.rs
@@ -11,7 +11,7 @@
 use bergamot_base::Name;
 use bergamot_declaration::Kind;
 use bergamot_dispatch::{Ending, RECORD, Tally, greatest};
-use bergamot_wire::{Late, Shard, ShardQuery, ShardReply};
+use bergamot_wire::{Late, ShardOutcome, ShardQuery, ShardReply};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
@@ -70,7 +70,7 @@
     let (until, end) = (moment(query.answer_within), moment(query.deadline));
     let (names, top_k) = (query.shards.clone(), query.top_k as usize);
     let enough = (query.enough as usize).saturating_mul(RECORD);
-    let mut shards = vec![Shard::NotAsked; names.len()];
+    let mut shards = vec![ShardOutcome::NotAsked; names.len()];
     let Some(request) = read(query, received) else {
         log::error!("relay: event=query_refused cause=\"the request of a member can't be read\"");
         return ShardReply { shards, records: Vec::new(), left_out: 0, rest: 0, quiet: Vec::new() };
@@ -81,17 +81,17 @@
     {
         match outcome {
             Ok(passed) => {
-                shards[index] = Shard::In(signature(&passed));
+                shards[index] = ShardOutcome::In(signature(&passed));
                 parts.push(passed.body);
             }
             // What was not sent leaves the first attempt to the sender.
             Err(miss) if miss.ending == Ending::NotSent => {
-                shards[index] = Shard::NotAsked;
+                shards[index] = ShardOutcome::NotAsked;
             }
             Err(miss) => {
                 relay.meter().ending(miss.ending);
-                if let Shard::Silent(searcher) = &shards[index] {
-                    let fate = if miss.ended { Shard::Ended } else { Shard::Failed };
+                if let ShardOutcome::Silent(searcher) = &shards[index] {
+                    let fate = if miss.ended { ShardOutcome::Ended } else { ShardOutcome::Failed };
                     shards[index] = fate(searcher.clone());
                 }
             }
@@ -111,7 +111,7 @@
     request: Request,
     names: &[Name],
     (offer, end): (Instant, Instant),
-    shards: &mut [Shard],
+    shards: &mut [ShardOutcome],
 ) -> Work {
     // What is asked for others must not change what this member takes for usual, and the sender
     // hears of each failure, and logs it.
@@ -122,7 +122,7 @@
     for (index, name) in names.iter().enumerate() {
         let Some(link) = relay.choose(name, &[]) else { continue };
         relay.meter().attempt(Reason::Delegated, link.distance);
-        shards[index] = Shard::Silent(link.upstream.incarnation.clone());
+        shards[index] = ShardOutcome::Silent(link.upstream.incarnation.clone());
         let terms = Terms { offer, end, trial: false };
         let attempt = Attempt::start(relay, link, &job, terms, results.clone());
         running.push((index, attempt));
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -11,7 +11,7 @@
 use bergamot_dispatch::{Crossings, Distance, Need, rank, sufficient};
 use bergamot_registry::{Incarnation, Upstream};
 use bergamot_upstream::Pace;
-use bergamot_wire::Quiet;
+use bergamot_wire::QuietPeriod;
 use rand::RngExt;
 
 use crate::delegate::Elsewhere;
@@ -104,7 +104,7 @@
     }
 
     /// Lists the silences that are expected soon of searchers beside this member.
-    pub(crate) fn quiet(&self, shards: &[Name]) -> Vec<Quiet> {
+    pub(crate) fn quiet(&self, shards: &[Name]) -> Vec<QuietPeriod> {
         let now = Instant::now();
         let state = self.lock();
         let mut quiet = Vec::new();
@@ -117,14 +117,14 @@
                 let ms = |moment: Instant| moment.saturating_duration_since(now).as_millis() as u32;
                 let searcher = short(&link.upstream.incarnation);
                 let (begins_ms, ends_ms) = (ms(begin), ms(end));
-                quiet.push(Quiet { index: index as u32, searcher, begins_ms, ends_ms });
+                quiet.push(QuietPeriod { index: index as u32, searcher, begins_ms, ends_ms });
             }
         }
         quiet
     }
 
     /// Takes in a silence that another member expects of a searcher of a shard.
-    pub(crate) fn note_quiet(&self, shard: &str, quiet: Quiet) {
+    pub(crate) fn note_quiet(&self, shard: &str, quiet: QuietPeriod) {
         let now = Instant::now();
         let at = |ms: u32| now + Duration::from_millis(u64::from(ms));
         let state = self.lock();
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -11,7 +11,7 @@
 use bergamot_registry::Upstream;
 use bergamot_relay::{Helper, Helping, Relay, Whole};
 use bergamot_standin::Script;
-use bergamot_wire::{Late, Quiet, Shard, ShardReply};
+use bergamot_wire::{Late, QuietPeriod, ShardOutcome, ShardReply};
 use support::{gather, incarnation, part, record, relay_beside, request, route, upstream, whole};
 
 const MEMBER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 9);
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn a_members_merged_answer_counts_each_of_its_shards() {
     let (west, east) = (part(1).await, part(2).await);
-    let shards = vec![Shard::In(b"s1".to_vec()), Shard::In(b"s2".to_vec())];
+    let shards = vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply {
         shards,
         records: [record(9), record(3)].concat(),
@@ -77,8 +77,8 @@
 #[tokio::test]
 async fn what_a_member_missed_is_asked_of_another_searcher_and_not_of_the_same() {
     let (west, east) = (part(1).await, part(2).await);
-    let silent = Shard::Silent(incarnation("a-west"));
-    let shards = vec![silent, Shard::In(b"s2".to_vec())];
+    let silent = ShardOutcome::Silent(incarnation("a-west"));
+    let shards = vec![silent, ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply { shards, records: record(3), left_out: 0, rest: 0, quiet: Vec::new() };
     let relay = relay(reply, Vec::new(), &west, &east);
     let answer = whole(relay.handle(request("/q/")).await);
@@ -89,7 +89,8 @@
 #[tokio::test]
 async fn a_shard_that_comes_in_later_at_the_member_is_taken_once() {
     let (west, east) = (part(1).await, part(2).await);
-    let shards = vec![Shard::In(b"s1".to_vec()), Shard::Silent(incarnation("b-west"))];
+    let shards =
+        vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::Silent(incarnation("b-west"))];
     let reply = ShardReply { shards, records: record(9), left_out: 0, rest: 7, quiet: Vec::new() };
     // Shard `b` has no other searcher: only the member can still bring it.
     let late = vec![Late {
@@ -109,7 +110,8 @@
 async fn brief(first: u8, left_out: u64) -> Whole {
     let (west, east) = (part(1).await, part(2).await);
     // Of shard `a` there is a silent searcher in the west and another in the east.
-    let shards = vec![Shard::Silent(incarnation("a-west")), Shard::In(b"s2".to_vec())];
+    let shards =
+        vec![ShardOutcome::Silent(incarnation("a-west")), ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply { shards, records: record(first), left_out, rest: 0, quiet: Vec::new() };
     let relay = relay(reply, Vec::new(), &west, &east);
     whole(relay.handle(request("/q/")).await)
@@ -139,9 +141,9 @@
 #[tokio::test]
 async fn a_searcher_of_which_a_member_expects_silence_is_passed_over() {
     let (west, east) = (part(1).await, part(2).await);
-    let shards = vec![Shard::In(b"s1".to_vec()), Shard::In(b"s2".to_vec())];
+    let shards = vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::In(b"s2".to_vec())];
     let searcher = hash_bytes(b"a-west") as u32;
-    let quiet = vec![Quiet { index: 0, searcher, begins_ms: 0, ends_ms: 60_000 }];
+    let quiet = vec![QuietPeriod { index: 0, searcher, begins_ms: 0, ends_ms: 60_000 }];
     let reply = ShardReply { shards, records: record(9), left_out: 0, rest: 0, quiet };
     let relay = relay(reply, Vec::new(), &west, &east);
     whole(relay.handle(request("/q/")).await);
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -5,7 +5,7 @@
 use snafu::Snafu;
 
 /// The maximum size in bytes of a datagram that is sent or received, so that it fits one packet.
-pub const LARGEST_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_LEN: usize = 1400;
 
 /// A datagram that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -22,9 +22,9 @@
 /// Encodes a datagram, without its last rumours if it would otherwise exceed one packet.
 pub fn encode(mut datagram: Datagram) -> Vec<u8> {
     loop {
-        let mut bytes = Vec::with_capacity(LARGEST_DATAGRAM);
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_LEN);
         ciborium::into_writer(&datagram, &mut bytes).expect("datagrams always serialize");
-        if bytes.len() <= LARGEST_DATAGRAM || datagram.rumours.pop().is_none() {
+        if bytes.len() <= MAX_DATAGRAM_LEN || datagram.rumours.pop().is_none() {
             return bytes;
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,13 +12,13 @@
 mod stream;
 
 pub use channel::{Channels, Connect, Connection, run_requests, serve_requests, transport};
-pub use datagram::{DecodeError, LARGEST_DATAGRAM, decode, encode};
+pub use datagram::{DecodeError, MAX_DATAGRAM_LEN, decode, encode};
 pub use member::{
-    Item, Late, Manifest, Member, MemberClient, News, NewsQuery, Quiet, Rank, Shard, ShardQuery,
-    ShardReply, Value,
+    Item, Late, Manifest, Member, MemberClient, News, NewsQuery, QuietPeriod, Rank, ShardOutcome,
+    ShardQuery, ShardReply, Value,
 };
 pub use rpc::{
     Entry, EntryClient, EntryRequest, EntryResponse, Gather, GatherClient, GatherRequest,
     GatherResponse, Refusal, Reply, SubQuery, WriteOrder, context,
 };
-pub use stream::{Bundle, Pull, pull, serve_pulls};
+pub use stream::{PullRequest, PullResponse, pull, serve_pulls};
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -39,7 +39,7 @@
 
 /// The outcome of one shard of a [`ShardQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shard {
+pub enum ShardOutcome {
     /// The shard answered, with this signature of the searcher.
     In(Vec<u8>),
     /// The shard is missing; this searcher was queried and has not answered yet.
@@ -54,7 +54,7 @@
 
 /// A predicted period in which a searcher does not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Quiet {
+pub struct QuietPeriod {
     /// The index of the searcher's shard in the query.
     pub index: u32,
     /// The hash of the searcher's incarnation, truncated to 32 bits.
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardReply {
     /// The outcome of each shard, in the order of the query.
-    pub shards: Vec<Shard>,
+    pub shards: Vec<ShardOutcome>,
     /// The top-ranked records of the shards that answered.
     pub records: Vec<u8>,
     /// The token of the records that were omitted, for [`Member::records`]; zero if there are none.
@@ -77,7 +77,7 @@
     /// The token of the attempts still in progress, for [`Member::rest`]; zero if there are none.
     pub rest: u64,
     /// The periods soon to come in which searchers in the member's region will not answer.
-    pub quiet: Vec<Quiet>,
+    pub quiet: Vec<QuietPeriod>,
 }
 
 /// The answer of a shard that arrived after the [`ShardReply`] was sent.
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -29,7 +29,7 @@
 
 /// A pull request: the state that the client already has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pull {
+pub struct PullRequest {
     /// The client's active revision; zero if it has none.
     #[serde(rename = "r")]
     pub revision: Revision,
@@ -43,7 +43,7 @@
 
 /// A pull response: the state that the client lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bundle {
+pub struct PullResponse {
     /// The active document, if it is newer than the client's.
     #[serde(rename = "p")]
     pub parcel: Option<Parcel>,
@@ -64,9 +64,9 @@
 pub async fn pull(
     local: Ipv4Addr,
     peer: SocketAddr,
-    request: &Pull,
+    request: &PullRequest,
     read_timeout: Duration,
-) -> Result<(Bundle, usize), Fault> {
+) -> Result<(PullResponse, usize), Fault> {
     let exchange = async {
         let stream = with_read_timeout(dial(local, peer, read_timeout).await?, read_timeout);
         let address = format!("ws://{peer}/");
@@ -93,7 +93,7 @@
 /// Serves pull requests until `stop` is cancelled.
 pub async fn serve_pulls<F>(listener: TcpListener, stop: CancellationToken, answer: F)
 where
-    F: Fn(Pull) -> Bundle + Clone + Send + Sync + 'static,
+    F: Fn(PullRequest) -> PullResponse + Clone + Send + Sync + 'static,
 {
     loop {
         let accepted = tokio::select! {
@@ -118,7 +118,7 @@
 async fn serve_one(
     stream: TimedStream,
     peer: SocketAddr,
-    answer: impl Fn(Pull) -> Bundle,
+    answer: impl Fn(PullRequest) -> PullResponse,
 ) -> Result<(), Fault> {
     let mut socket = accept_async(stream)
         .await
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -3,10 +3,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use bergamot_members::{
-    Datagram, Digest, Endpoint, Kind, PER_DATAGRAM, Prints, RANGES, Record, Role, Rumour, State,
-    Summary,
+    Datagram, Digest, Endpoint, Kind, MAX_RECORDS_PER_DATAGRAM, RANGE_COUNT, RangeHashes, Record,
+    RecordHashes, Role, Rumour, State,
 };
-use bergamot_wire::{LARGEST_DATAGRAM, decode, encode};
+use bergamot_wire::{MAX_DATAGRAM_LEN, decode, encode};
 use ciborium::Value;
 use proptest::prelude::*;
 
@@ -40,17 +40,17 @@
 }
 
 fn all_kinds() -> Vec<Kind> {
-    let prints = |count| Prints { ranges: u64::MAX, prints: vec![u32::MAX; count] };
+    let hashes = |count| RecordHashes { ranges: u64::MAX, hashes: vec![u32::MAX; count] };
     vec![
         Kind::Ping(u64::MAX),
         Kind::Ack(1),
-        Kind::Ask(2, record(3).endpoint),
-        Kind::News,
+        Kind::PingRequest(2, record(3).endpoint),
+        Kind::Gossip,
         Kind::Join,
-        Kind::Compare(Box::new(Summary([u32::MAX; RANGES]))),
-        Kind::Differ(prints(256)),
-        Kind::Want(prints(256)),
-        Kind::Tell,
+        Kind::Compare(Box::new(RangeHashes([u32::MAX; RANGE_COUNT]))),
+        Kind::Differences(hashes(256)),
+        Kind::RecordRequest(hashes(256)),
+        Kind::Records,
     ]
 }
 
@@ -59,14 +59,14 @@
     for kind in all_kinds() {
         let sent = datagram(kind, 0);
         let bytes = encode(sent.clone());
-        assert!(bytes.len() <= LARGEST_DATAGRAM, "{:?}: {} bytes", sent.kind, bytes.len());
+        assert!(bytes.len() <= MAX_DATAGRAM_LEN, "{:?}: {} bytes", sent.kind, bytes.len());
         assert_eq!(decode(&bytes, peer()), Ok(sent));
     }
 }
 
 #[test]
 fn the_maximum_number_of_records_fits_one_packet() {
-    let sent = datagram(Kind::Tell, PER_DATAGRAM as u16);
+    let sent = datagram(Kind::Records, MAX_RECORDS_PER_DATAGRAM as u16);
     assert_eq!(decode(&encode(sent.clone()), peer()), Ok(sent));
 }
 
@@ -90,14 +90,16 @@
 
 #[test]
 fn comparisons_of_the_wrong_size_are_refused_with_step_and_peer() {
-    let compares = |kind: &Kind| matches!(kind, Kind::Compare(_) | Kind::Differ(_) | Kind::Want(_));
+    let compares = |kind: &Kind| {
+        matches!(kind, Kind::Compare(_) | Kind::Differences(_) | Kind::RecordRequest(_))
+    };
     for kind in all_kinds().into_iter().filter(compares) {
         let error = decode(&with_bytes(kind, &[7; 255]), peer()).expect_err("refused");
         let text = error.to_string();
         assert!(text.starts_with("decode datagram 10.1.0.9:7380: "), "{text}");
         assert!(text.contains("255 bytes"), "{text}");
     }
-    let compare = Kind::Compare(Box::new(Summary([0; RANGES])));
+    let compare = Kind::Compare(Box::new(RangeHashes([0; RANGE_COUNT])));
     let error = decode(&with_bytes(compare, &[7; 64]), peer()).expect_err("refused");
     assert!(error.to_string().contains("16 ranges, not 64"), "{error}");
 }
--- a/crates/wire/tests/pull.rs
+++ b/crates/wire/tests/pull.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamot_base::Name;
-use bergamot_wire::{Bundle, Pull, pull, serve_pulls};
+use bergamot_wire::{PullRequest, PullResponse, pull, serve_pulls};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
@@ -13,10 +13,10 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Returns a response of about 100 KB.
-fn bundle() -> Bundle {
+fn bundle() -> PullResponse {
     let searcher = SocketAddr::from((Ipv4Addr::LOCALHOST, 7));
     let leaving = (0..2000).map(|run| (searcher, Name::from(format!("{run:0>40}")))).collect();
-    Bundle { leaving, ..Bundle::default() }
+    PullResponse { leaving, ..PullResponse::default() }
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
@@ -57,14 +57,14 @@
 #[tokio::test]
 async fn a_large_response_over_a_slow_link_is_received_completely() {
     let link = slow_link(server().await, READ_TIMEOUT / 6, usize::MAX).await;
-    let pulled = pull(Ipv4Addr::LOCALHOST, link, &Pull::default(), READ_TIMEOUT).await;
+    let pulled = pull(Ipv4Addr::LOCALHOST, link, &PullRequest::default(), READ_TIMEOUT).await;
     assert_eq!(pulled.expect("it comes in").0, bundle());
 }
 
 #[tokio::test]
 async fn a_pull_fails_if_the_peer_stalls_midway() {
     let link = slow_link(server().await, Duration::ZERO, 3).await;
-    let pulled = pull(Ipv4Addr::LOCALHOST, link, &Pull::default(), READ_TIMEOUT).await;
+    let pulled = pull(Ipv4Addr::LOCALHOST, link, &PullRequest::default(), READ_TIMEOUT).await;
     let fault = pulled.expect_err("it falls silent");
     assert_eq!(fault.step.0, "receive control message");
 }
