--- a/crates/members/tests/filetests.rs
+++ b/crates/members/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Traces of views, probers and homes.
+//! Trace tests of the view and of failure detection.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -9,7 +9,7 @@
 use bergamot_base::{Name, Seed};
 use bergamot_filetest::{check, trace};
 use bergamot_members::{
-    Digest, Endpoint, Listed, Membership, Outgoing, Record, Role, State, Timing, View,
+    Digest, Endpoint, ListedInstance, Membership, Outgoing, Record, Role, State, Timing, View,
 };
 
 fn view(path: &Path) -> Result<(), Box<dyn Error>> {
@@ -32,14 +32,15 @@
                     Some(name) => (name, true),
                     None => (*item, false),
                 };
-                Listed { ip: endpoint(name).ip, zone: Name::from("z"), leaving }
+                ListedInstance { ip: endpoint(name).ip, zone: Name::from("z"), leaving }
             };
             let news = view.apply_list(&items.iter().map(listed).collect::<Vec<_>>());
             news.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
         }
         ["takes_work", member] => view.takes_work(endpoint(member)).to_string(),
         ["placed"] => {
-            let placed = view.placed(Role::Gather).map(|record| record.endpoint.to_string());
+            let placed =
+                view.placement_candidates(Role::Gather).map(|record| record.endpoint.to_string());
             placed.collect::<Vec<_>>().join(" ")
         }
         ["dump"] => view.to_string().trim_end().replace('\n', " | "),
@@ -47,7 +48,7 @@
     }
 }
 
-/// A member is written as a number: the last of its IP number; it is a gather.
+/// Parses a member, written as the last octet of its IP address. It is a gather.
 fn endpoint(member: &str) -> Endpoint {
     let last = member.parse().unwrap_or(0);
     Endpoint { ip: Ipv4Addr::new(127, 0, 0, last), role: Role::Gather }
@@ -71,7 +72,8 @@
     }
 }
 
-/// Members of a trace; datagrams go to those that are up, at once.
+/// A network of members that delivers datagrams immediately, except to and from members that are
+/// down.
 struct Net {
     members: BTreeMap<Endpoint, Membership>,
     down: Vec<Endpoint>,
@@ -109,7 +111,7 @@
             }
             ["leave", member] => {
                 let leaver = self.members.get_mut(&endpoint(member)).expect("is started");
-                let out = leaver.farewell(now, State::Leaving, Digest::default());
+                let out = leaver.announce_departure(now, State::Leaving, Digest::default());
                 self.deliver(now, out);
                 self.states()
             }
@@ -127,11 +129,11 @@
         let me = record(member, "1", "0", "alive");
         let (at, rng) = (me.endpoint, Seed(1).generator(member));
         let mut membership = Membership::new(now, timing, me, Vec::new(), rng);
-        membership.learn_all(now, known);
+        membership.merge_records(now, known);
         self.members.insert(at, membership);
     }
 
-    /// Lets time pass in small steps.
+    /// Advances time in steps of 10 ms.
     fn run(&mut self, now: Instant, time: Duration) {
         let mut moment = now;
         while moment < now + time {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// What the first member that is up believes of every gather.
+    /// Returns the state of every gather in the view of the first member that is up.
     fn states(&self) -> String {
         let observer = self.members.iter().find(|(endpoint, _)| !self.down.contains(endpoint));
         let Some((_, observer)) = observer else {
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -16,7 +16,7 @@
 };
 use bergamot_net::Fault;
 use bergamot_quarantine::Quarantine;
-use bergamot_wire::LARGEST_DATAGRAM;
+use bergamot_wire::MAX_DATAGRAM_LEN;
 use rand::RngExt;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -152,7 +152,7 @@
     /// Returns whether the view was complete at some time since the start, as far as other members
     /// can tell.
     pub fn is_settled(&self) -> bool {
-        self.lock().membership.is_settled(Instant::now())
+        self.lock().membership.is_converged(Instant::now())
     }
 
     /// Returns the number of members, as far as this or other members know.
@@ -193,14 +193,14 @@
         for _ in 0..LEAVE_MESSAGES {
             let mut control = self.lock();
             let digest = control.digest();
-            let out = control.membership.farewell(Instant::now(), State::Leaving, digest);
+            let out = control.membership.announce_departure(Instant::now(), State::Leaving, digest);
             drop(control);
             self.transmit(out);
         }
     }
 
     async fn run(self: Arc<Self>) {
-        let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_LEN + 1];
         loop {
             let due = self.lock().membership.due();
             tokio::select! {
@@ -233,7 +233,7 @@
     fn send_suspicions(&self) {
         let mut control = self.lock();
         let Control { membership, suspicions, .. } = &mut *control;
-        suspicions.spread(Instant::now(), membership);
+        suspicions.gossip_new(Instant::now(), membership);
     }
 
     /// Sends the sender of a datagram the reports about suspect requests that it may lack.
@@ -241,7 +241,7 @@
         let mut control = self.lock();
         let digest = control.digest();
         let Control { membership, suspicions, .. } = &mut *control;
-        let out = suspicions.inform(Instant::now(), membership, datagram, digest);
+        let out = suspicions.send_missing(Instant::now(), membership, datagram, digest);
         drop(control);
         self.transmit(out);
     }
@@ -257,13 +257,13 @@
         let digest = control.digest();
         let out = event(&mut control.membership, digest);
         let Control { membership, changes, suspicions, .. } = &mut *control;
-        let updated = suspicions.hear(now, membership);
-        suspicions.settle(now, membership);
-        for (member, state) in membership.take_changed() {
+        let updated = suspicions.merge_received(now, membership);
+        suspicions.update_informed(now, membership);
+        for (member, state) in membership.take_state_changes() {
             changes.note(now, state.label(), member.ip);
         }
         let lines = changes.take(now, false);
-        let alive = membership.view().count_working();
+        let alive = membership.view().available_count();
         drop(control);
         self.transmit(out);
         for fingerprint in updated {
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -12,7 +12,7 @@
 use bergamot_base::Name;
 use bergamot_declaration::Gather;
 use bergamot_dispatch::{Ending, GatherDecision, RequestTimeouts, Unavailability, admit};
-use bergamot_wire::{Late, Shard, ShardReply};
+use bergamot_wire::{Late, ShardOutcome, ShardReply};
 use bytes::Bytes;
 use futures::future::BoxFuture;
 use futures::stream::{FuturesUnordered, StreamExt};
@@ -236,27 +236,27 @@
         let mut signatures = Vec::new();
         for (shard, found) in asked.shards.iter().copied().zip(found) {
             match found {
-                Shard::In(signature) => {
+                ShardOutcome::In(signature) => {
                     signatures.extend(self.record_part(shard, parse_signature(&signature)));
                 }
-                Shard::Silent(searcher) => {
+                ShardOutcome::Silent(searcher) => {
                     self.worst_ending = Ending::Unknown;
                     self.start_race(shard, vec![TriedSearcher::Known(searcher)]);
                 }
-                Shard::Failed(searcher) => {
+                ShardOutcome::Failed(searcher) => {
                     self.worst_ending = Ending::Unknown;
                     self.relay.note_failure(&searcher);
                     self.start_race(shard, vec![TriedSearcher::Known(searcher)]);
                     self.source_ended(shard);
                 }
-                Shard::Ended(searcher) => {
+                ShardOutcome::Ended(searcher) => {
                     self.worst_ending = Ending::Unknown;
                     self.relay.note_failure(&searcher);
                     self.job.retry_gate.record_crash();
                     self.start_race(shard, vec![TriedSearcher::Known(searcher)]);
                     self.source_ended(shard);
                 }
-                Shard::NotAsked => {
+                ShardOutcome::NotAsked => {
                     self.start_race(shard, Vec::new());
                     self.source_ended(shard);
                 }
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -11,7 +11,7 @@
 use bergamot_dispatch::{AttemptPriority, Distance, ZoneRoundTrips, rank, sufficient_records};
 use bergamot_registry::{Incarnation, Upstream};
 use bergamot_upstream::LatencyPercentile;
-use bergamot_wire::Quiet;
+use bergamot_wire::QuietPeriod;
 use rand::RngExt;
 
 use crate::delegate::RemoteLocation;
@@ -108,7 +108,7 @@
     }
 
     /// Returns the expected pauses of searchers near this member.
-    pub(crate) fn expected_silences(&self, shards: &[Name]) -> Vec<Quiet> {
+    pub(crate) fn expected_silences(&self, shards: &[Name]) -> Vec<QuietPeriod> {
         let now = Instant::now();
         let state = self.lock();
         let mut quiet = Vec::new();
@@ -121,14 +121,14 @@
                 let ms = |moment: Instant| moment.saturating_duration_since(now).as_millis() as u32;
                 let searcher = short_hash(&link.upstream.incarnation);
                 let (begins_ms, ends_ms) = (ms(begin), ms(end));
-                quiet.push(Quiet { index: index as u32, searcher, begins_ms, ends_ms });
+                quiet.push(QuietPeriod { index: index as u32, searcher, begins_ms, ends_ms });
             }
         }
         quiet
     }
 
     /// Applies an expected pause of a searcher that was reported by another member.
-    pub(crate) fn apply_expected_silence(&self, shard: &str, quiet: Quiet) {
+    pub(crate) fn apply_expected_silence(&self, shard: &str, quiet: QuietPeriod) {
         let now = Instant::now();
         let at = |ms: u32| now + Duration::from_millis(u64::from(ms));
         let state = self.lock();
--- a/crates/relay/src/shard_query.rs
+++ b/crates/relay/src/shard_query.rs
@@ -11,7 +11,7 @@
 use bergamot_base::Name;
 use bergamot_declaration::Kind;
 use bergamot_dispatch::{Ending, RECORD_LEN, Tally, merge_top_k};
-use bergamot_wire::{Late, Shard, ShardQuery, ShardReply};
+use bergamot_wire::{Late, ShardOutcome, ShardQuery, ShardReply};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
@@ -70,7 +70,7 @@
     let (until, deadline) = (moment(query.answer_within), moment(query.deadline));
     let (names, top_k) = (query.shards.clone(), query.top_k as usize);
     let enough = (query.enough as usize).saturating_mul(RECORD_LEN);
-    let mut shards = vec![Shard::NotAsked; names.len()];
+    let mut shards = vec![ShardOutcome::NotAsked; names.len()];
     let Some(request) = parse_request(query, received) else {
         log::error!("relay: event=query_refused cause=\"malformed request in a member query\"");
         return ShardReply { shards, records: Vec::new(), left_out: 0, rest: 0, quiet: Vec::new() };
@@ -81,17 +81,21 @@
     {
         match outcome {
             Ok(response) => {
-                shards[index] = Shard::In(signature(&response));
+                shards[index] = ShardOutcome::In(signature(&response));
                 parts.push(response.body);
             }
             // The request was not sent, so the sender still has its first attempt.
             Err(error) if error.ending == Ending::NotSent => {
-                shards[index] = Shard::NotAsked;
+                shards[index] = ShardOutcome::NotAsked;
             }
             Err(error) => {
                 relay.meter().count_ending(error.ending);
-                if let Shard::Silent(searcher) = &shards[index] {
-                    let fate = if error.searcher_ended { Shard::Ended } else { Shard::Failed };
+                if let ShardOutcome::Silent(searcher) = &shards[index] {
+                    let fate = if error.searcher_ended {
+                        ShardOutcome::Ended
+                    } else {
+                        ShardOutcome::Failed
+                    };
                     shards[index] = fate(searcher.clone());
                 }
             }
@@ -111,7 +115,7 @@
     request: Request,
     names: &[Name],
     (connect_by, deadline): (Instant, Instant),
-    shards: &mut [Shard],
+    shards: &mut [ShardOutcome],
 ) -> RunningAttempts {
     // Attempts for other members must not affect the latencies that this member learns for its own
     // routes, hence the empty route name. The sender is told of each failure and logs it.
@@ -122,7 +126,7 @@
     for (index, name) in names.iter().enumerate() {
         let Some(link) = relay.choose_searcher(name, &[]) else { continue };
         relay.meter().count_attempt(AttemptReason::Delegated, link.distance);
-        shards[index] = Shard::Silent(link.upstream.incarnation.clone());
+        shards[index] = ShardOutcome::Silent(link.upstream.incarnation.clone());
         let limits = AttemptLimits { connect_by, deadline, trial: false };
         let attempt = Attempt::start(relay, link, &job, limits, sender.clone());
         running.push((index, attempt));
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -11,7 +11,7 @@
 use bergamot_registry::Upstream;
 use bergamot_relay::{DelegateMember, Helping, MergedResponse, Relay};
 use bergamot_standin::Script;
-use bergamot_wire::{Late, Quiet, Shard, ShardReply};
+use bergamot_wire::{Late, QuietPeriod, ShardOutcome, ShardReply};
 use support::{
     gather, incarnation, merged, part, record, relay_with_members, request, route, upstream,
 };
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn a_members_merged_answer_counts_each_of_its_shards() {
     let (west, east) = (part(1).await, part(2).await);
-    let shards = vec![Shard::In(b"s1".to_vec()), Shard::In(b"s2".to_vec())];
+    let shards = vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply {
         shards,
         records: [record(9), record(3)].concat(),
@@ -79,8 +79,8 @@
 #[tokio::test]
 async fn what_a_member_missed_is_asked_of_another_searcher_and_not_of_the_same() {
     let (west, east) = (part(1).await, part(2).await);
-    let silent = Shard::Silent(incarnation("a-west"));
-    let shards = vec![silent, Shard::In(b"s2".to_vec())];
+    let silent = ShardOutcome::Silent(incarnation("a-west"));
+    let shards = vec![silent, ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply { shards, records: record(3), left_out: 0, rest: 0, quiet: Vec::new() };
     let relay = relay(reply, Vec::new(), &west, &east);
     let answer = merged(relay.handle(request("/q/")).await);
@@ -91,7 +91,8 @@
 #[tokio::test]
 async fn a_shard_that_comes_in_later_at_the_member_is_taken_once() {
     let (west, east) = (part(1).await, part(2).await);
-    let shards = vec![Shard::In(b"s1".to_vec()), Shard::Silent(incarnation("b-west"))];
+    let shards =
+        vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::Silent(incarnation("b-west"))];
     let reply = ShardReply { shards, records: record(9), left_out: 0, rest: 7, quiet: Vec::new() };
     // Shard `b` has no other searcher, so only the member can deliver it.
     let late = vec![Late {
@@ -111,7 +112,8 @@
 async fn merge_with_left_out(first: u8, left_out: u64) -> MergedResponse {
     let (west, east) = (part(1).await, part(2).await);
     // Shard `a` has a silent searcher in the west and another one in the east.
-    let shards = vec![Shard::Silent(incarnation("a-west")), Shard::In(b"s2".to_vec())];
+    let shards =
+        vec![ShardOutcome::Silent(incarnation("a-west")), ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply { shards, records: record(first), left_out, rest: 0, quiet: Vec::new() };
     let relay = relay(reply, Vec::new(), &west, &east);
     merged(relay.handle(request("/q/")).await)
@@ -141,9 +143,9 @@
 #[tokio::test]
 async fn a_searcher_of_which_a_member_expects_silence_is_passed_over() {
     let (west, east) = (part(1).await, part(2).await);
-    let shards = vec![Shard::In(b"s1".to_vec()), Shard::In(b"s2".to_vec())];
+    let shards = vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::In(b"s2".to_vec())];
     let searcher = hash_bytes(b"a-west") as u32;
-    let quiet = vec![Quiet { index: 0, searcher, begins_ms: 0, ends_ms: 60_000 }];
+    let quiet = vec![QuietPeriod { index: 0, searcher, begins_ms: 0, ends_ms: 60_000 }];
     let reply = ShardReply { shards, records: record(9), left_out: 0, rest: 0, quiet };
     let relay = relay(reply, Vec::new(), &west, &east);
     merged(relay.handle(request("/q/")).await);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,9 @@
-//! Messages between daemons and their transports.
+//! Messages between daemons, and their transports.
 //!
-//! Requests with a deadline travel by `tarpc` ([`Gather`], [`Entry`]): it carries the
-//! time left and cancels what the caller has dropped. Control datagrams are `CBOR` in
-//! UDP ([`encode`], [`decode`]); whole documents and views travel over a WebSocket
-//! ([`pull`], [`serve_pulls`]), since they may be larger than any datagram. See
-//! `docs/design/0001-two-tiers.md`.
+//! Requests with a deadline use `tarpc` ([`Gather`], [`Entry`], [`Member`]), which transmits the
+//! remaining time and cancels requests that the caller has dropped. Control datagrams are CBOR over
+//! UDP ([`encode`], [`decode`]). Documents and views may exceed the size of a datagram and are
+//! transferred over a WebSocket ([`pull`], [`serve_pulls`]). See `docs/design/0001-two-tiers.md`.
 
 mod channel;
 mod datagram;
@@ -13,13 +12,13 @@
 mod stream;
 
 pub use channel::{Channels, Connect, Connection, run_requests, serve_requests, transport};
-pub use datagram::{Garbled, LARGEST_DATAGRAM, decode, encode};
+pub use datagram::{DecodeError, MAX_DATAGRAM_LEN, decode, encode};
 pub use member::{
-    Item, Late, Manifest, Member, MemberClient, News, NewsQuery, Quiet, Rank, Shard, ShardQuery,
-    ShardReply, Value,
+    Item, Late, Manifest, Member, MemberClient, News, NewsQuery, QuietPeriod, Rank, ShardOutcome,
+    ShardQuery, ShardReply, Value,
 };
 pub use rpc::{
     Entry, EntryClient, EntryRequest, EntryResponse, Gather, GatherClient, GatherRequest,
     GatherResponse, Refusal, Reply, SubQuery, WriteOrder, context,
 };
-pub use stream::{Bundle, Pull, pull, serve_pulls};
+pub use stream::{PullRequest, PullResponse, pull, serve_pulls};
