--- a/crates/gather/src/holding.rs
+++ b/crates/gather/src/assignment.rs
@@ -1,4 +1,4 @@
-//! What a gather holds under one document: its cells, searchers and their clients.
+//! The cells assigned to a gather under one document, and the clients of their searchers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 use bergamot_node::Current;
 use bergamot_upstream::{Client, ClientSet};
 
-/// What a gather holds under one document.
+/// The cells that a gather is a home of under one document, and the clients of their searchers.
 #[derive(Clone, Debug)]
-pub(crate) struct Holding {
+pub(crate) struct Assignment {
     pub(crate) current: Arc<Current>,
     pub(crate) cells: BTreeSet<Cell>,
-    pub(crate) fleet: ClientSet,
+    pub(crate) clients: ClientSet,
 }
 
-impl Holding {
-    /// Makes the holding for a document and its homes, keeping the clients held before.
-    pub(crate) fn next(
-        before: Option<&Self>,
+impl Assignment {
+    /// Computes the assignment for a document and its homes, reusing existing clients.
+    pub(crate) fn new(
+        previous: Option<&Self>,
         current: Arc<Current>,
         homes: &Homes,
         me: Endpoint,
@@ -28,37 +28,39 @@
     ) -> Self {
         let document = &current.document;
         let cells: BTreeSet<Cell> = homes.cells_of(me).into_iter().collect();
-        let held: Vec<Searcher> = cells
+        let searchers: Vec<Searcher> = cells
             .iter()
             .flat_map(|cell| &document.layout.cells[*cell].shards)
             .flat_map(|shard| document.shards[*shard].replicas.iter().copied())
             .collect();
-        let none = ClientSet::default();
-        let fleet =
-            before.map_or(&none, |before| &before.fleet).reconfigured(document, settings, &held);
-        Self { current, cells, fleet }
+        let empty = ClientSet::default();
+        let clients = previous
+            .map_or(&empty, |previous| &previous.clients)
+            .reconfigured(document, settings, &searchers);
+        Self { current, cells, clients }
     }
 
-    /// Tells whether the gather homes the cell of every one of the shards.
-    pub(crate) fn homes(&self, shards: &[Shard]) -> bool {
+    /// Returns whether this gather is a home of the cells of all given shards.
+    pub(crate) fn is_home_of(&self, shards: &[Shard]) -> bool {
         let layout = &self.current.document.layout;
-        let known = self.current.document.shards.len();
+        let shard_count = self.current.document.shards.len();
         shards.iter().all(|shard| {
-            bergamot_base::Entity::index(*shard) < known
+            bergamot_base::Entity::index(*shard) < shard_count
                 && self.cells.contains(&layout.cell(*shard))
         })
     }
 
     /// Iterates over the clients of a shard's replicas.
-    pub(crate) fn clients(&self, shard: Shard) -> impl Iterator<Item = &Arc<Client>> {
+    pub(crate) fn replica_clients(&self, shard: Shard) -> impl Iterator<Item = &Arc<Client>> {
         let replicas = &self.current.document.shards[shard].replicas;
-        replicas.iter().filter_map(|searcher| self.fleet.client(*searcher))
+        replicas.iter().filter_map(|searcher| self.clients.client(*searcher))
     }
 
-    /// Returns the versions that the live replicas of a shard hold.
+    /// Returns the index versions that the replicas of a shard hold, except replicas that are
+    /// leaving.
     pub(crate) fn versions(&self, shard: Shard) -> Vec<Version> {
         let mut versions = BTreeSet::new();
-        for client in self.clients(shard) {
+        for client in self.replica_clients(shard) {
             let health = client.health();
             if !health.is_leaving() {
                 versions.extend(health.versions());
--- a/crates/gather/src/lib.rs
+++ b/crates/gather/src/lib.rs
@@ -1,17 +1,17 @@
-//! The gather service: the sub-queries and writes of the cells that it homes.
+//! The gather service: runs the sub-queries and writes of the cells that it is a home of.
 //!
-//! A gather owns its share of connections to the searchers of its cells. Entries send
-//! it the part of a query that falls into a cell; it runs each shard as a race between
-//! replicas inside budgets and gives back what came in time. Invariant: a reply holds
-//! only answers for the pin that was asked for, and it leaves before the deadline. See
-//! `docs/design/0005-tails-and-scarcity.md`.
+//! A gather has a share of the connections to the searchers of its cells. Entries send
+//! it the part of a query that concerns one cell. It queries the replicas of each shard,
+//! with hedges and retries limited by budgets, and returns the results that arrive in
+//! time. Invariant: a reply contains only results for the requested pin, and it is sent
+//! before the deadline. See `docs/design/0005-tails-and-scarcity.md`.
 
-mod holding;
-mod keeper;
-mod meter;
+mod assignment;
+mod maintenance;
+mod metrics;
+mod quarantine;
 mod service;
+mod service_state;
 mod shard;
-mod suspects;
-mod tail;
 
 pub use service::{Gather, Running};
--- a/crates/gather/src/meter.rs
+++ b/crates/gather/src/metrics.rs
@@ -4,24 +4,24 @@
 
 /// The metrics of a gather.
 #[derive(Clone, Debug)]
-pub(crate) struct Meter {
-    /// Shards asked, by what came of it.
+pub(crate) struct Metrics {
+    /// Shards queried, by outcome.
     pub(crate) shards: IntCounterVec,
     /// Sub-queries sent to searchers.
     pub(crate) attempts: IntCounter,
-    /// Writes sent to searchers, by what came of it.
+    /// Writes sent to searchers, by outcome.
     pub(crate) writes: IntCounterVec,
-    /// Connections open to searchers.
+    /// Open connections to searchers.
     pub(crate) connections: IntGauge,
-    /// Dials since the start.
+    /// Connection attempts by the current clients.
     pub(crate) dials: IntGauge,
-    /// Dials that searchers refused.
+    /// Connection attempts by the current clients that failed or were refused.
     pub(crate) refused: IntGauge,
 }
 
-impl Meter {
+impl Metrics {
     pub(crate) fn new(registry: &Registry) -> Self {
-        let vector = |name: &str, help: &str| {
+        let counter_vec = |name: &str, help: &str| {
             let metric = IntCounterVec::new(Opts::new(name, help), &["outcome"])
                 .expect("metric names are constants and valid");
             registry.register(Box::new(metric.clone())).expect("metric names are unique");
@@ -36,9 +36,12 @@
             .expect("metric names are constants and valid");
         registry.register(Box::new(attempts.clone())).expect("metric names are unique");
         Self {
-            shards: vector("bergamot_shards_total", "Shards asked, by outcome."),
+            shards: counter_vec("bergamot_shards_total", "Shards asked, by outcome."),
             attempts,
-            writes: vector("bergamot_gather_writes_total", "Writes sent to searchers, by outcome."),
+            writes: counter_vec(
+                "bergamot_gather_writes_total",
+                "Writes sent to searchers, by outcome.",
+            ),
             connections: gauge("bergamot_upstream_connections", "Connections open to searchers."),
             dials: gauge("bergamot_upstream_dials", "Dials to searchers held now."),
             refused: gauge("bergamot_upstream_refused_dials", "Dials that searchers refused."),
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -1,4 +1,4 @@
-//! The gather as a running service.
+//! Starting, serving and stopping a gather.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 use bergamot_upstream::protocol::Write;
 use bergamot_upstream::{Client, RequestContext, WriteResult};
 use bergamot_wire::{
-    Gather as Requests, Refusal, Reply, SubQuery, WriteOrder, run_requests, serve_requests,
+    Gather as GatherRpc, Refusal, Reply, SubQuery, WriteOrder, run_requests, serve_requests,
     transport,
 };
 use bergamot_write::Outcome;
@@ -23,75 +23,85 @@
 use tarpc::server::Channel;
 use tokio_util::sync::CancellationToken;
 
-use crate::holding::Holding;
-use crate::keeper;
-use crate::meter::Meter;
-use crate::shard::Job;
-use crate::suspects::fingerprint;
-use crate::tail::Tails;
+use crate::assignment::Assignment;
+use crate::maintenance;
+use crate::metrics::Metrics;
+use crate::quarantine::fingerprint;
+use crate::service_state::ServiceStates;
+use crate::shard::SubQueryContext;
 
-/// The part of a deadline that the reply needs to get back to the entry.
+/// Part of each deadline that is reserved for sending the reply to the entry.
 const REPLY_MARGIN: Duration = Duration::from_millis(1);
 
-/// How long a leaving gather goes on after the last request came in.
-const QUIET: Duration = Duration::from_millis(500);
+/// Interval at which a leaving gather checks whether it is idle, that is, whether no request has
+/// arrived since the last check and none is in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a leaving gather goes on at least, so that every entry hears of it.
-const SETTLE: Duration = Duration::from_millis(1500);
+/// Minimum time for which a leaving gather keeps serving, so that every entry learns that it is
+/// leaving before it stops.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(1500);
 
-/// What the parts of a gather share.
+/// State shared by the tasks and request handlers of a gather.
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) node: Arc<Node>,
-    pub(crate) meter: Meter,
-    pub(crate) tails: Tails,
-    holding: ArcSwapOption<Holding>,
-    served: AtomicU64,
+    pub(crate) metrics: Metrics,
+    pub(crate) service_states: ServiceStates,
+    assignment: ArcSwapOption<Assignment>,
+    /// Number of requests received since the start.
+    received: AtomicU64,
+    /// Number of requests that are being handled.
     in_flight: AtomicU64,
 }
 
 impl Inner {
-    pub(crate) fn holding(&self) -> Option<Arc<Holding>> {
-        self.holding.load_full()
+    pub(crate) fn assignment(&self) -> Option<Arc<Assignment>> {
+        self.assignment.load_full()
     }
 
     fn dump_upstream(&self) -> String {
-        self.holding().map_or_else(String::new, |holding| holding.fleet.dump())
+        self.assignment().map_or_else(String::new, |assignment| assignment.clients.dump())
     }
 
-    /// Takes in a change of the document or the homes.
-    pub(crate) fn refresh(&self) {
+    /// Recomputes the assignment after a change of the document or the homes.
+    pub(crate) fn update_assignment(&self) {
         let Some(current) = self.node.current() else {
             return;
         };
-        let before = self.holding();
+        let previous = self.assignment();
         let homes = self.node.homes();
         let settings = self.node.settings();
-        let next = Holding::next(before.as_deref(), current, &homes, self.node.me(), settings);
-        // Searchers that are held from now on may have been reported before.
+        let next = Assignment::new(previous.as_deref(), current, &homes, self.node.me(), settings);
+        // A newly assigned searcher may have been reported as leaving before it was assigned.
         for (searcher, run) in self.node.leaving() {
-            if let Some(client) = next.fleet.client_at(searcher) {
+            if let Some(client) = next.clients.client_at(searcher) {
                 client.health().record_leaving_notice(Some(&run));
             }
         }
-        self.holding.store(Some(Arc::new(next)));
+        self.assignment.store(Some(Arc::new(next)));
     }
 
-    /// Returns the holding for a revision, or refuses.
-    async fn hold(&self, revision: Revision, deadline: Deadline) -> Result<Arc<Holding>, Refusal> {
+    /// Returns the assignment for a revision after catching up to it if necessary, or a refusal if
+    /// another revision is in force or no new work may start.
+    async fn assignment_at(
+        &self,
+        revision: Revision,
+        deadline: Deadline,
+    ) -> Result<Arc<Assignment>, Refusal> {
         if !self.node.awake().await {
             return Err(Refusal::Asleep);
         }
-        let bound = deadline.left(Instant::now()) / 2;
-        if self.node.catch_up_to(revision, bound).await {
-            let stale = |holding: &Arc<Holding>| holding.current.document.revision < revision;
-            if self.holding().as_ref().is_none_or(stale) {
-                self.refresh();
+        let timeout = deadline.left(Instant::now()) / 2;
+        if self.node.catch_up_to(revision, timeout).await {
+            let stale =
+                |assignment: &Arc<Assignment>| assignment.current.document.revision < revision;
+            if self.assignment().as_ref().is_none_or(stale) {
+                self.update_assignment();
             }
         }
-        let holding = self.holding().ok_or(Refusal::Asleep)?;
-        let ours = holding.current.document.revision;
-        if ours == revision { Ok(holding) } else { Err(Refusal::Revision(ours)) }
+        let assignment = self.assignment().ok_or(Refusal::Asleep)?;
+        let current = assignment.current.document.revision;
+        if current == revision { Ok(assignment) } else { Err(Refusal::Revision(current)) }
     }
 }
 
@@ -99,16 +109,16 @@
 #[derive(Debug)]
 pub struct Gather;
 
-/// A gather that runs.
+/// A handle to a running gather.
 #[derive(Debug)]
 pub struct Running {
     inner: Arc<Inner>,
     stop: CancellationToken,
-    served: tokio::task::JoinHandle<()>,
+    serve_task: tokio::task::JoinHandle<()>,
 }
 
 impl Gather {
-    /// Starts a gather and returns once it has a document and serves.
+    /// Starts a gather and returns once it has a document and accepts requests.
     pub async fn start(settings: Arc<Settings>) -> Result<Running, Fault> {
         let node = Node::start(settings, Role::Gather).await?;
         let settings = Arc::clone(node.settings());
@@ -116,141 +126,155 @@
         let listener = listen(address).await?;
         node.join().await;
         let inner = Arc::new(Inner {
-            meter: Meter::new(node.registry()),
+            metrics: Metrics::new(node.registry()),
             node,
-            tails: Tails::default(),
-            holding: ArcSwapOption::empty(),
-            served: AtomicU64::new(0),
+            service_states: ServiceStates::default(),
+            assignment: ArcSwapOption::empty(),
+            received: AtomicU64::new(0),
             in_flight: AtomicU64::new(0),
         });
-        inner.refresh();
+        inner.update_assignment();
         add_dumps(&inner);
-        let this = Arc::downgrade(&inner);
+        let weak_inner = Arc::downgrade(&inner);
         inner.node.on_leaving(Box::new(move |searcher, run| {
-            if let Some(inner) = this.upgrade() {
-                keeper::told_leaving(&inner, searcher, run);
+            if let Some(inner) = weak_inner.upgrade() {
+                maintenance::record_leaving_notice(&inner, searcher, run);
             }
         }));
         let stop = CancellationToken::new();
         let tasks = inner.node.tasks().until(stop.clone());
-        tasks.spawn("follow", keeper::follow(Arc::clone(&inner), stop.clone()));
-        tasks.spawn("keep", keeper::keep(Arc::clone(&inner), stop.clone()));
+        tasks.spawn("follow", maintenance::follow_assignment(Arc::clone(&inner), stop.clone()));
+        tasks.spawn("keep", maintenance::maintain_clients(Arc::clone(&inner), stop.clone()));
         let server = Server(Arc::clone(&inner));
         let serving = serve_requests(listener, stop.clone(), move |stream, open| {
-            let requests = transport(stream).execute(Requests::serve(server.clone()));
+            let requests = transport(stream).execute(GatherRpc::serve(server.clone()));
             tokio::spawn(run_requests(requests, open));
         });
-        let served = tasks.spawn("serve", serving);
+        let serve_task = tasks.spawn("serve", serving);
         log::info!("gather: Serving at {address}.");
-        Ok(Running { inner, stop, served })
+        Ok(Running { inner, stop, serve_task })
     }
 }
 
 impl Running {
-    /// Returns the node, for its state.
+    /// Returns the node that this gather runs on.
     pub fn node(&self) -> &Arc<Node> {
         &self.inner.node
     }
 
-    /// Waits until a task has ended without which the service can't go on.
+    /// Waits until a task that the service requires has ended.
     pub async fn failed(&self) {
         self.inner.node.tasks().failed().await;
     }
 
-    /// Ends at once and without a farewell, as a crash does. For tests and measurements.
+    /// Stops immediately without notifying other members, as a crash does. For tests and
+    /// measurements.
     pub fn abort(self) {
         self.stop.cancel();
         self.inner.node.close();
     }
 
-    /// Stops gracefully: says farewell, serves until nothing comes in any more and
-    /// nothing is in flight, then closes.
+    /// Stops gracefully: announces that it is leaving, serves until no more requests arrive and
+    /// none is in flight, then closes. The drain time in the settings limits how long this takes.
     pub async fn stop(self) {
         let node = &self.inner.node;
         node.leave(State::Leaving).await;
         let start = Instant::now();
-        let longest = node.settings().entry.drain;
-        let mut served = self.inner.served.load(Ordering::Relaxed);
+        let max_time = node.settings().entry.drain;
+        let mut received = self.inner.received.load(Ordering::Relaxed);
         loop {
-            tokio::time::sleep(QUIET).await;
-            let now_served = self.inner.served.load(Ordering::Relaxed);
-            let idle = self.inner.in_flight.load(Ordering::Relaxed) == 0 && now_served == served;
-            served = now_served;
-            let settled = start.elapsed() >= SETTLE;
-            if (settled && idle) || start.elapsed() >= longest {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+            let now_received = self.inner.received.load(Ordering::Relaxed);
+            let idle =
+                self.inner.in_flight.load(Ordering::Relaxed) == 0 && now_received == received;
+            received = now_received;
+            let min_time_passed = start.elapsed() >= MIN_DRAIN_TIME;
+            if (min_time_passed && idle) || start.elapsed() >= max_time {
                 break;
             }
         }
         self.stop.cancel();
-        // A panic in a handler has been reported already.
-        let _ = self.served.await;
+        // A panic in a handler has already been reported.
+        let _ = self.serve_task.await;
         node.leave(State::Left).await;
         node.close();
         log::info!("gather: Stopped.");
     }
 }
 
-/// Adds the parts of the state dump. They hold the service weakly: the node that keeps
-/// them is itself a part of the service.
+/// Adds this service's parts to the state dump.
+///
+/// The parts have weak references to the service: the service owns the node, which owns the
+/// parts, so strong references would form a cycle.
 fn add_dumps(inner: &Arc<Inner>) {
     let part = |title, dump: fn(&Inner) -> String| {
-        let this = Arc::downgrade(inner);
-        let text = move || this.upgrade().map_or_else(String::new, |inner| dump(&inner));
+        let weak_inner = Arc::downgrade(inner);
+        let text = move || weak_inner.upgrade().map_or_else(String::new, |inner| dump(&inner));
         inner.node.add_dump(title, Box::new(text));
     };
     part("upstream", Inner::dump_upstream);
-    part("tails", |inner| inner.tails.dump());
+    part("tails", |inner| inner.service_states.dump());
 }
 
-/// The requests that a gather answers.
+/// Handles the requests of entries.
 #[derive(Clone)]
 struct Server(Arc<Inner>);
 
-/// Counts a request as in flight while it lives.
-struct InFlight<'a>(&'a Inner);
+/// Counts a request as in flight until dropped.
+struct InFlightGuard<'a>(&'a Inner);
 
-impl<'a> InFlight<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(inner: &'a Inner) -> Self {
-        inner.served.fetch_add(1, Ordering::Relaxed);
+        inner.received.fetch_add(1, Ordering::Relaxed);
         inner.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(inner)
     }
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Requests for Server {
+impl GatherRpc for Server {
     async fn search(self, context: Context, query: SubQuery) -> Result<Reply, Refusal> {
-        let _in_flight = InFlight::new(&self.0);
-        let deadline = deadline(&context);
-        let holding = self.0.hold(query.pin.revision, deadline).await?;
-        if !holding.homes(&query.shards) {
+        let _in_flight = InFlightGuard::new(&self.0);
+        let deadline = reply_deadline(&context);
+        let assignment = self.0.assignment_at(query.pin.revision, deadline).await?;
+        if !assignment.is_home_of(&query.shards) {
             return Err(Refusal::NotHome);
         }
-        let tail = self.0.tails.of(&holding.current.document, query.service);
+        let service_state =
+            self.0.service_states.get_or_create(&assignment.current.document, query.service);
         let SubQuery { id, pin, shards, shape, .. } = query;
-        let document = &holding.current.document;
+        let document = &assignment.current.document;
         let row = document.services.get(query.service).ok_or(Refusal::NotHome)?;
         let workspace = &document.workspaces[row.workspace].name;
         let fingerprint = fingerprint(&format!("{workspace}/{}", row.name), &shape);
-        let door = SharedGate::default();
-        let job = Job { id, pin, shape, fingerprint, door, deadline, holding, tail };
-        Ok(self.search_shards(&job, &shards).await)
+        let gate = SharedGate::default();
+        let sub_query = SubQueryContext {
+            id,
+            pin,
+            shape,
+            fingerprint,
+            gate,
+            deadline,
+            assignment,
+            service_state,
+        };
+        Ok(self.search_shards(&sub_query, &shards).await)
     }
 
     async fn write(self, context: Context, order: WriteOrder) -> Result<Outcome, Refusal> {
-        let _in_flight = InFlight::new(&self.0);
-        let deadline = deadline(&context);
-        let holding = self.0.hold(order.revision, deadline).await?;
-        if !holding.homes(&[order.shard]) {
+        let _in_flight = InFlightGuard::new(&self.0);
+        let deadline = reply_deadline(&context);
+        let assignment = self.0.assignment_at(order.revision, deadline).await?;
+        if !assignment.is_home_of(&[order.shard]) {
             return Err(Refusal::NotHome);
         }
-        let outcome = self.write_once(&holding, &order, deadline).await;
-        self.0.meter.writes.with_label_values(&[&outcome.status.to_string()]).inc();
+        let outcome = self.run_write(&assignment, &order, deadline).await;
+        self.0.metrics.writes.with_label_values(&[&outcome.status.to_string()]).inc();
         Ok(outcome)
     }
 
@@ -260,26 +284,29 @@
         revision: Revision,
         service: Service,
     ) -> Result<Vec<(Shard, Vec<Version>)>, Refusal> {
-        let holding = self.0.hold(revision, deadline(&context)).await?;
-        let document = &holding.current.document;
+        let assignment = self.0.assignment_at(revision, reply_deadline(&context)).await?;
+        let document = &assignment.current.document;
         let row = document.services.get(service).ok_or(Refusal::NotHome)?;
-        let homed = row.shards.iter().filter(|shard| holding.homes(&[**shard]));
-        Ok(homed.map(|shard| (*shard, holding.versions(*shard))).collect())
+        let homed = row.shards.iter().filter(|shard| assignment.is_home_of(&[**shard]));
+        Ok(homed.map(|shard| (*shard, assignment.versions(*shard))).collect())
     }
 }
 
 impl Server {
-    async fn search_shards(&self, job: &Job, shards: &[Shard]) -> Reply {
-        let ended = self.0.run_shards(job, shards).await;
+    async fn search_shards(&self, sub_query: &SubQueryContext, shards: &[Shard]) -> Reply {
+        let results = self.0.run_shards(sub_query, shards).await;
         let mut reply = Reply {
             partials: Vec::with_capacity(shards.len()),
             missing: Vec::new(),
             attempts: 0,
-            versions: shards.iter().map(|shard| (*shard, job.holding.versions(*shard))).collect(),
+            versions: shards
+                .iter()
+                .map(|shard| (*shard, sub_query.assignment.versions(*shard)))
+                .collect(),
         };
-        for (shard, ended) in shards.iter().zip(ended) {
-            reply.attempts += ended.attempts;
-            let outcome = match ended.result {
+        for (shard, result) in shards.iter().zip(results) {
+            reply.attempts += result.attempts;
+            let outcome = match result.result {
                 Ok(partial) => {
                     reply.partials.push(partial);
                     "answered".to_owned()
@@ -289,23 +316,24 @@
                     reason.to_string()
                 }
             };
-            self.0.meter.shards.with_label_values(&[&outcome]).inc();
+            self.0.metrics.shards.with_label_values(&[&outcome]).inc();
         }
         reply
     }
 
-    /// Sends a write to the first replica that stays, and to no other.
-    async fn write_once(
+    /// Sends a write to one replica: the first that is healthy and not leaving, or else the first
+    /// that is not leaving.
+    async fn run_write(
         &self,
-        holding: &Holding,
+        assignment: &Assignment,
         order: &WriteOrder,
         deadline: Deadline,
     ) -> Outcome {
-        let replicas = &holding.current.document.shards[order.shard].replicas;
-        let Some(client) = first_staying(holding, replicas) else {
+        let replicas = &assignment.current.document.shards[order.shard].replicas;
+        let Some(client) = select_write_replica(assignment, replicas) else {
             return Outcome::not_run(format!("every replica is leaving ({})", Reason::Leaving));
         };
-        let call = RequestContext {
+        let request_context = RequestContext {
             id: Name::from(order.key.to_string()),
             deadline,
             cancel: CancellationToken::new(),
@@ -313,7 +341,7 @@
         let write = Write { record: Name::clone(&order.record), body: Name::clone(&order.body) };
         let node = &self.0.node;
         let key = order.key.to_string();
-        match client.write(&call, &key, &write, || node.is_awake()).await {
+        match client.write(&request_context, &key, &write, || node.is_awake()).await {
             WriteResult::Done(receipt) => Outcome::done(receipt),
             WriteResult::NotRun(reason) => Outcome::not_run(reason),
             WriteResult::Unknown(reason) => Outcome::unknown(reason),
@@ -321,18 +349,21 @@
     }
 }
 
-fn first_staying<'a>(holding: &'a Holding, replicas: &[Searcher]) -> Option<&'a Arc<Client>> {
+fn select_write_replica<'a>(
+    assignment: &'a Assignment,
+    replicas: &[Searcher],
+) -> Option<&'a Arc<Client>> {
     let now = Instant::now();
-    let staying: Vec<_> = replicas
+    let candidates: Vec<_> = replicas
         .iter()
-        .filter_map(|searcher| holding.fleet.client(*searcher))
+        .filter_map(|searcher| assignment.clients.client(*searcher))
         .filter(|client| !client.health().is_leaving())
         .collect();
-    let healthy = staying.iter().find(|client| !client.health().is_ejected(now));
-    healthy.or(staying.first()).copied()
+    let healthy = candidates.iter().find(|client| !client.health().is_ejected(now));
+    healthy.or(candidates.first()).copied()
 }
 
-fn deadline(context: &Context) -> Deadline {
+fn reply_deadline(context: &Context) -> Deadline {
     let now = Instant::now();
     Deadline::after(now, context.deadline.saturating_duration_since(now)).less(REPLY_MARGIN)
 }
--- a/crates/gather/src/shard.rs
+++ b/crates/gather/src/shard.rs
@@ -1,4 +1,4 @@
-//! One shard of a query: a race between its replicas.
+//! Querying one shard: a hedged request to its replicas.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -16,137 +16,149 @@
 use futures::stream::FuturesUnordered;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::holding::Holding;
+use crate::assignment::Assignment;
 use crate::service::Inner;
-use crate::tail::{Tail, lock};
+use crate::service_state::{ServiceState, lock};
 
-/// The part of the time left after which a hedge is made while the pace is unknown.
-const FIRST_HEDGE: u32 = 3;
+/// While no latency estimate exists, the first hedge is sent after the remaining time divided by
+/// this number.
+const INITIAL_HEDGE_DIVISOR: u32 = 3;
 
-/// How many hedges one shard may have.
-const MOST_HEDGES: u32 = 2;
+/// Maximum number of hedges for one shard.
+const MAX_HEDGES: u32 = 2;
 
-/// What all shards of one sub-query share.
-pub(crate) struct Job {
+/// State shared by all shards of one sub-query.
+pub(crate) struct SubQueryContext {
     pub(crate) id: Name,
     pub(crate) pin: Pin,
     pub(crate) shape: Shape,
-    /// What is asked for, whoever asks.
+    /// Identifies the content of the query, the same for all callers.
     pub(crate) fingerprint: Fingerprint,
-    /// Where further attempts wait once a searcher has ended under the query.
-    pub(crate) door: SharedGate,
+    /// Decides about further attempts once the query has crashed a searcher.
+    pub(crate) gate: SharedGate,
     pub(crate) deadline: Deadline,
-    pub(crate) holding: Arc<Holding>,
-    pub(crate) tail: Arc<Mutex<Tail>>,
+    pub(crate) assignment: Arc<Assignment>,
+    pub(crate) service_state: Arc<Mutex<ServiceState>>,
 }
 
-/// What became of a shard.
-pub(crate) struct Ended {
+/// The result of querying one shard.
+pub(crate) struct ShardResult {
     pub(crate) result: Result<Partial, Reason>,
     pub(crate) attempts: u32,
 }
 
-/// The end of an attempt: its number, the searcher, the result and the time it took.
-type Finished = (u32, Searcher, Result<SearchReply, SearcherError>, Duration);
+/// The attempt number, the searcher, the result and the time that the attempt took.
+type AttemptResult = (u32, Searcher, Result<SearchReply, SearcherError>, Duration);
 
-type Attempt<'a> = BoxFuture<'a, Finished>;
+type Attempt<'a> = BoxFuture<'a, AttemptResult>;
 
-/// The attempts at one shard that are running.
+/// The running attempts to query one shard.
 struct Attempts<'a> {
     inner: &'a Inner,
-    job: &'a Job,
+    context: &'a SubQueryContext,
     shard: Shard,
     running: FuturesUnordered<Attempt<'a>>,
-    /// The number of the attempt that counts at each searcher, and what cancels it.
+    /// The number of the latest attempt at each searcher, and the guard that cancels it.
     latest: HashMap<Searcher, (u32, DropGuard)>,
     count: u32,
-    /// Whether the query is with no other searcher.
-    alone: bool,
-    /// Whether the attempt under way shows for all shards whether the query does harm.
+    /// Whether only one attempt is allowed, because this shard is queried as a trial.
+    single_attempt: bool,
+    /// Whether the running attempt is the trial that [`SubQueryContext::gate`] has granted.
     trial: bool,
 }
 
-/// Runs one shard of a query to its end.
+/// Queries one shard and returns its result.
 ///
-/// `alone` asks one searcher and no further one. Whatever ends it, the attempts still running are
-/// cancelled: their guards drop.
-pub(crate) async fn run(inner: &Inner, job: &Job, shard: Shard, alone: bool) -> Ended {
-    if is_gone(job, shard) {
-        return Ended { result: Err(Reason::VersionGone), attempts: 0 };
+/// With `single_attempt`, only one searcher is queried, without retries or hedges. Attempts that
+/// are still running on return are cancelled, because their guards are dropped.
+pub(crate) async fn run_shard(
+    inner: &Inner,
+    context: &SubQueryContext,
+    shard: Shard,
+    single_attempt: bool,
+) -> ShardResult {
+    if is_version_gone(context, shard) {
+        return ShardResult { result: Err(Reason::VersionGone), attempts: 0 };
     }
-    let mut race = HedgedRequest::new(order(inner, job, shard));
+    let mut request = HedgedRequest::new(replica_order(inner, context, shard));
     let running = FuturesUnordered::new();
     let latest = HashMap::new();
     let mut attempts =
-        Attempts { inner, job, shard, running, latest, count: 0, alone, trial: false };
-    let result = drive(&mut race, &mut attempts).await;
-    attempts.settle(if result.is_ok() {
+        Attempts { inner, context, shard, running, latest, count: 0, single_attempt, trial: false };
+    let result = drive_request(&mut request, &mut attempts).await;
+    attempts.finish_trial(if result.is_ok() {
         TrialOutcome::Answered
     } else {
         TrialOutcome::Inconclusive
     });
-    inner.meter.attempts.inc_by(u64::from(attempts.count));
-    Ended { result, attempts: attempts.count }
+    inner.metrics.attempts.inc_by(u64::from(attempts.count));
+    ShardResult { result, attempts: attempts.count }
 }
 
-async fn drive(race: &mut HedgedRequest, attempts: &mut Attempts<'_>) -> Result<Partial, Reason> {
-    let job = attempts.job;
+async fn drive_request(
+    request: &mut HedgedRequest,
+    attempts: &mut Attempts<'_>,
+) -> Result<Partial, Reason> {
+    let context = attempts.context;
     let settings = attempts.inner.node.settings();
-    match race.start() {
+    match request.start() {
         NextAction::Send(first) => attempts.send(first),
         NextAction::GiveUp(reason) => return Err(reason),
         NextAction::Wait => {}
     }
     {
-        let mut tail = lock(&job.tail);
-        tail.hedges.earn();
-        tail.retries.earn();
+        let mut service_state = lock(&context.service_state);
+        service_state.hedge_budget.earn();
+        service_state.retry_budget.earn();
     }
-    let delay = hedge_delay(job, settings.gather.hedge_floor);
+    let delay = hedge_delay(context, settings.gather.hedge_floor);
     let mut hedge_at = Instant::now() + delay;
-    let mut hedges = if settings.gather.hedge && !attempts.alone { MOST_HEDGES } else { 0 };
+    let mut hedges_left =
+        if settings.gather.hedge && !attempts.single_attempt { MAX_HEDGES } else { 0 };
     loop {
         tokio::select! {
             biased;
-            Some((number, searcher, result, took)) = attempts.running.next() => {
-                if !attempts.counts(number, searcher) {
+            Some((attempt, searcher, result, took)) = attempts.running.next() => {
+                if !attempts.is_current(attempt, searcher) {
                     continue;
                 }
-                let reason = match result.map(|found| accept(job, attempts.shard, found)) {
+                let result = result.map(|reply| validate_reply(context, attempts.shard, reply));
+                let reason = match result {
                     Ok(Ok(partial)) => {
-                        race.succeed(searcher);
-                        lock(&job.tail).pace.record(took);
+                        request.succeed(searcher);
+                        lock(&context.service_state).latency.record(took);
                         return Ok(partial);
                     }
                     Ok(Err(reason)) => reason,
                     Err(fault) => {
-                        log::debug!("upstream: Sub-query {} failed: {fault}.", job.id);
-                        attempts.note_end(searcher, &fault).await;
+                        let id = &context.id;
+                        log::debug!("upstream: Attempt of sub-query {id} failed: {fault}.");
+                        attempts.check_for_crash(searcher, &fault).await;
                         fault.reason
                     }
                 };
-                let is_last = race.running() == [searcher];
-                if is_last && !attempts.may_follow().await {
+                let is_last_running = request.running() == [searcher];
+                if is_last_running && !attempts.wait_for_permit().await {
                     return Err(reason);
                 }
-                match retry(race, attempts, searcher, reason) {
-                    NextAction::Send(next) => attempts.send(next),
+                match retry(request, attempts, searcher, reason) {
+                    NextAction::Send(next_searcher) => attempts.send(next_searcher),
                     NextAction::Wait => {}
                     NextAction::GiveUp(reason) => return Err(reason),
                 }
             }
-            () = tokio::time::sleep_until(hedge_at.into()), if hedges > 0 => {
-                hedges -= 1;
+            () = tokio::time::sleep_until(hedge_at.into()), if hedges_left > 0 => {
+                hedges_left -= 1;
                 hedge_at = Instant::now() + delay;
-                if !job.door.is_unrestricted() {
+                if !context.gate.is_unrestricted() {
                     continue;
                 }
-                let next = race.hedge(&mut lock(&job.tail).hedges);
-                if let Some(next) = next {
-                    attempts.send(next);
+                let next_searcher = request.hedge(&mut lock(&context.service_state).hedge_budget);
+                if let Some(next_searcher) = next_searcher {
+                    attempts.send(next_searcher);
                 }
             }
-            () = tokio::time::sleep_until(job.deadline.instant().into()) => {
+            () = tokio::time::sleep_until(context.deadline.instant().into()) => {
                 return Err(Reason::Deadline);
             }
         }
@@ -154,46 +166,45 @@
 }
 
 fn retry(
-    race: &mut HedgedRequest,
+    request: &mut HedgedRequest,
     attempts: &Attempts<'_>,
     searcher: Searcher,
     reason: Reason,
 ) -> NextAction {
-    let mut tail = lock(&attempts.job.tail);
+    let mut service_state = lock(&attempts.context.service_state);
     if attempts.inner.node.settings().gather.retry {
-        return race.fail(searcher, reason, &mut tail.retries);
+        return request.fail(searcher, reason, &mut service_state.retry_budget);
     }
-    race.fail(searcher, reason, &mut Budget::new(0.0, 0.0))
+    request.fail(searcher, reason, &mut Budget::new(0.0, 0.0))
 }
 
 impl Attempts<'_> {
-    /// Tells whether an attempt is the one that counts at its searcher.
-    fn counts(&self, number: u32, searcher: Searcher) -> bool {
-        self.latest.get(&searcher).is_some_and(|(latest, _)| *latest == number)
+    /// Returns whether an attempt is the latest one at its searcher.
+    fn is_current(&self, attempt: u32, searcher: Searcher) -> bool {
+        self.latest.get(&searcher).is_some_and(|(latest, _)| *latest == attempt)
     }
 
-    /// Finds out whether a failed attempt has ended its searcher.
-    async fn note_end(&mut self, searcher: Searcher, fault: &SearcherError) {
-        let mut ended = false;
+    /// Checks whether a failed attempt has crashed its searcher, and records the result.
+    async fn check_for_crash(&mut self, searcher: Searcher, fault: &SearcherError) {
+        let mut crashed = false;
         if fault.connection_lost
-            && let Some(client) = self.job.holding.fleet.client(searcher)
+            && let Some(client) = self.context.assignment.clients.client(searcher)
         {
-            let trial = self.alone || self.trial;
-            ended = self.inner.inquire(self.job, self.shard, client, trial).await;
+            let trial = self.single_attempt || self.trial;
+            crashed = self.inner.check_for_crash(self.context, self.shard, client, trial).await;
         }
-        if ended {
-            self.job.door.record_crash();
+        if crashed {
+            self.context.gate.record_crash();
         }
-        self.settle(if ended { TrialOutcome::Crashed } else { TrialOutcome::Inconclusive });
+        self.finish_trial(if crashed { TrialOutcome::Crashed } else { TrialOutcome::Inconclusive });
     }
 
-    /// Waits, once a searcher has ended under the query, until another may be asked; tells whether
-    /// it may.
-    async fn may_follow(&mut self) -> bool {
-        if self.alone {
+    /// Waits until the gate permits or denies another attempt, and returns whether it is permitted.
+    async fn wait_for_permit(&mut self) -> bool {
+        if self.single_attempt {
             return false;
         }
-        match self.job.door.acquire(self.job.deadline.instant()).await {
+        match self.context.gate.acquire(self.context.deadline.instant()).await {
             Permit::Unrestricted => true,
             Permit::Trial => {
                 self.trial = true;
@@ -203,107 +214,116 @@
         }
     }
 
-    /// Tells the other shards how the trial ended, if it was made here.
-    fn settle(&mut self, outcome: TrialOutcome) {
+    /// Reports the outcome of the trial to the gate if this shard was granted one.
+    fn finish_trial(&mut self, outcome: TrialOutcome) {
         if std::mem::take(&mut self.trial) {
-            self.job.door.finish_trial(outcome);
+            self.context.gate.finish_trial(outcome);
         }
     }
 
     fn send(&mut self, searcher: Searcher) {
-        let job = self.job;
-        let Some(client) = job.holding.fleet.client(searcher).map(Arc::clone) else {
+        let context = self.context;
+        let Some(client) = context.assignment.clients.client(searcher).map(Arc::clone) else {
             return;
         };
         self.count += 1;
-        let number = self.count;
-        let document = &job.holding.current.document;
+        let attempt = self.count;
+        let document = &context.assignment.current.document;
         let position = document.shards[self.shard].position;
         let cancel = CancellationToken::new();
-        // An earlier attempt at the searcher is cancelled: its guard drops.
-        self.latest.insert(searcher, (number, cancel.clone().drop_guard()));
-        let call = RequestContext {
-            id: Name::from(format!("{}.{position}.{}", job.id, self.count)),
-            deadline: job.deadline,
+        // This cancels an earlier attempt at the same searcher by dropping its guard.
+        self.latest.insert(searcher, (attempt, cancel.clone().drop_guard()));
+        let request_context = RequestContext {
+            id: Name::from(format!("{}.{position}.{}", context.id, self.count)),
+            deadline: context.deadline,
             cancel,
         };
         let search = Search {
             shard: position,
-            epoch: job.pin.epoch,
-            version: job.pin.version,
-            query: job.shape.clone(),
+            epoch: context.pin.epoch,
+            version: context.pin.version,
+            query: context.shape.clone(),
         };
         let node = Arc::clone(&self.inner.node);
         self.running.push(Box::pin(async move {
             let started = Instant::now();
-            let result = client.search(&call, &search, || node.is_awake()).await;
-            (number, searcher, result, started.elapsed())
+            let result = client.search(&request_context, &search, || node.is_awake()).await;
+            (attempt, searcher, result, started.elapsed())
         }));
     }
 }
 
-/// Checks that an answer is for the shard and the snapshot that were asked for.
-fn accept(job: &Job, shard: Shard, found: SearchReply) -> Result<Partial, Reason> {
-    let position = job.holding.current.document.shards[shard].position;
-    if found.shard != position {
+/// Checks that a reply is for the requested shard and snapshot.
+fn validate_reply(
+    context: &SubQueryContext,
+    shard: Shard,
+    reply: SearchReply,
+) -> Result<Partial, Reason> {
+    let position = context.assignment.current.document.shards[shard].position;
+    if reply.shard != position {
         return Err(Reason::BadReply);
     }
-    let pin = Pin { epoch: found.epoch, version: found.version, ..job.pin };
-    if pin != job.pin {
+    let pin = Pin { epoch: reply.epoch, version: reply.version, ..context.pin };
+    if pin != context.pin {
         return Err(Reason::WrongSnapshot);
     }
-    Ok(Partial { shard, pin, documents: found.documents, hits: found.hits })
+    Ok(Partial { shard, pin, documents: reply.documents, hits: reply.hits })
 }
 
-/// Tells whether every live replica is known to lack the pinned version.
+/// Returns whether every replica that is not leaving is known to lack the pinned version.
 ///
-/// Asking them all the same would cost a sub-query each to learn what their last answers
-/// said. The reply carries what they do hold, so the entry plans again at once.
-fn is_gone(job: &Job, shard: Shard) -> bool {
-    let mut live = 0;
-    for client in job.holding.clients(shard) {
+/// Querying them would cost one sub-query each, only to learn what their last responses have
+/// already reported. The reply to the entry lists the versions that they do hold, so that the
+/// entry can plan the query again immediately.
+fn is_version_gone(context: &SubQueryContext, shard: Shard) -> bool {
+    let mut available = 0;
+    for client in context.assignment.replica_clients(shard) {
         let health = client.health();
         if health.is_leaving() {
             continue;
         }
-        if health.versions().is_empty() || health.versions().contains(&job.pin.version) {
+        if health.versions().is_empty() || health.versions().contains(&context.pin.version) {
             return false;
         }
-        live += 1;
+        available += 1;
     }
-    live > 0
+    available > 0
 }
 
 impl Drop for Attempts<'_> {
     fn drop(&mut self) {
-        self.settle(TrialOutcome::Inconclusive);
+        self.finish_trial(TrialOutcome::Inconclusive);
     }
 }
 
-/// The order in which the replicas are tried.
-fn order(inner: &Inner, job: &Job, shard: Shard) -> Vec<Searcher> {
-    let replicas = &job.holding.current.document.shards[shard].replicas;
+/// Returns the replicas in the order in which they are tried.
+fn replica_order(inner: &Inner, context: &SubQueryContext, shard: Shard) -> Vec<Searcher> {
+    let replicas = &context.assignment.current.document.shards[shard].replicas;
     let clients: Vec<(Searcher, &Arc<Client>)> = replicas
         .iter()
-        .filter_map(|searcher| Some((*searcher, job.holding.fleet.client(*searcher)?)))
+        .filter_map(|searcher| Some((*searcher, context.assignment.clients.client(*searcher)?)))
         .collect();
-    let healths: Vec<_> = clients.iter().map(|(_, client)| client.health().clone()).collect();
+    let health_snapshots: Vec<_> =
+        clients.iter().map(|(_, client)| client.health().clone()).collect();
     let candidates: Vec<_> = clients
         .iter()
-        .zip(&healths)
+        .zip(&health_snapshots)
         .map(|((searcher, client), health)| {
             let slots = client.slots();
             Candidate { searcher: *searcher, health, load: slots.load(), slots: slots.capacity() }
         })
         .collect();
     if inner.node.settings().gather.pick {
-        return rank(Instant::now(), Some(job.pin.version), &candidates);
+        return rank(Instant::now(), Some(context.pin.version), &candidates);
     }
-    let staying = candidates.iter().filter(|candidate| !candidate.health.is_leaving());
-    staying.map(|candidate| candidate.searcher).collect()
+    let available = candidates.iter().filter(|candidate| !candidate.health.is_leaving());
+    available.map(|candidate| candidate.searcher).collect()
 }
 
-fn hedge_delay(job: &Job, floor: Duration) -> Duration {
-    let left = job.deadline.left(Instant::now());
-    lock(&job.tail).pace.estimate().map_or(left / FIRST_HEDGE, |slow| slow.max(floor))
+fn hedge_delay(context: &SubQueryContext, floor: Duration) -> Duration {
+    let left = context.deadline.left(Instant::now());
+    lock(&context.service_state)
+        .latency
+        .estimate()
+        .map_or(left / INITIAL_HEDGE_DIVISOR, |slow| slow.max(floor))
 }
