--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: routes, checks of what callers send, and answers.
+//! The HTTP interface for callers: routing, validation and responses.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,22 +13,26 @@
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 
-use crate::answer::{Answer, Refused, ServiceAnswer, WriteAnswer};
-use crate::read::{WriteBody, body, deadline, key, request_id, shape, write_body};
-use crate::search::{Found, Query};
+use crate::request::{
+    WriteBody, parse_deadline, parse_key, parse_shape, parse_write_body, read_request_body,
+    request_id,
+};
+use crate::response::{Answer, RequestError, ServiceAnswer, WriteAnswer};
+use crate::search::{Query, QueryResult};
 use crate::service::Inner;
-use crate::write::Order;
+use crate::write::WriteRequest;
 
-/// The most services that one query may ask.
-const MOST_SERVICES: usize = 16;
-/// The margin of services that prefer coverage: enough to write the answer out.
-const SHORT_MARGIN: Duration = Duration::from_millis(1);
-/// When to come back while the entry catches up.
-const CATCH_UP_RETRY: Duration = Duration::from_millis(200);
-/// When to come back after an answer without a single shard.
-const EMPTY_RETRY: Duration = Duration::from_millis(250);
+/// Maximum number of services in one query.
+const MAX_SERVICES: usize = 16;
+/// Part of the deadline reserved for sending the response, for writes and for services that prefer
+/// coverage.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(1);
+/// Delay after which to retry while the entry is catching up.
+const CATCH_UP_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Delay after which to retry a query for which no shard answered.
+const EMPTY_RESULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What a path names.
+/// The target of a request, as named by its path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Route {
     Addresses,
@@ -36,21 +40,21 @@
     Write { workspace: Name, service: Name },
 }
 
-/// Answers a caller's request.
+/// Handles a caller's request.
 pub(crate) async fn handle(inner: Arc<Inner>, request: Request<Incoming>) -> Response<Body> {
     let started = Instant::now();
     let id = request_id(&inner, request.headers());
     let (name, result) = route_and_run(&inner, &id, request).await;
     let mut response = match result {
         Ok((outcome, response)) => {
-            inner.meter.record(&name, outcome, started.elapsed());
+            inner.metrics.record(&name, outcome, started.elapsed());
             response
         }
-        Err(refused) => {
-            let outcome = if refused.retry_after.is_some() { "refused" } else { "bad" };
-            inner.meter.record(&name, outcome, started.elapsed());
-            log::debug!("entry: {id} refused: {:?}.", refused.fault);
-            refused.response(&id)
+        Err(error) => {
+            let outcome = if error.retry_after.is_some() { "refused" } else { "bad" };
+            inner.metrics.record(&name, outcome, started.elapsed());
+            log::debug!("entry: Request {id} was refused: {:?}.", error.fault);
+            error.response(&id)
         }
     };
     if inner.is_draining() {
@@ -59,13 +63,13 @@
     response
 }
 
-type Outcome = Result<(&'static str, Response<Body>), Refused>;
+type HandlerResult = Result<(&'static str, Response<Body>), RequestError>;
 
 async fn route_and_run(
     inner: &Arc<Inner>,
     id: &Name,
     request: Request<Incoming>,
-) -> (Name, Outcome) {
+) -> (Name, HandlerResult) {
     match route(request.method(), request.uri().path()) {
         Ok(Route::Addresses) => {
             let zone = zone_of(request.uri().query());
@@ -74,23 +78,22 @@
         Ok(Route::Query { workspace, services }) => {
             let name = Name::from(format!("{workspace}/{}", services.join(",")));
             let outcome = answer_query(inner, id, request, &workspace, &services).await;
-            // A metric label that callers could make up would grow without bound.
-            let unknown =
-                matches!(&outcome, Err(refused) if refused.status == StatusCode::NOT_FOUND);
+            // Names that callers invent must not become metric labels, or the number of labels
+            // would be unbounded.
+            let unknown = matches!(&outcome, Err(error) if error.status == StatusCode::NOT_FOUND);
             (if unknown { Name::from("unknown") } else { name }, outcome)
         }
         Ok(Route::Write { workspace, service }) => {
             let name = Name::from(format!("{workspace}/{service}"));
             let outcome = answer_write(inner, id, request, workspace, service).await;
-            let unknown =
-                matches!(&outcome, Err(refused) if refused.status == StatusCode::NOT_FOUND);
+            let unknown = matches!(&outcome, Err(error) if error.status == StatusCode::NOT_FOUND);
             (if unknown { Name::from("unknown") } else { name }, outcome)
         }
-        Err(refused) => (Name::from("unknown"), Err(refused)),
+        Err(error) => (Name::from("unknown"), Err(error)),
     }
 }
 
-fn route(method: &Method, path: &str) -> Result<Route, Refused> {
+fn route(method: &Method, path: &str) -> Result<Route, RequestError> {
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let route = match parts[..] {
         ["v1", "addresses"] => Route::Addresses,
@@ -104,13 +107,13 @@
         _ => {
             let allowed = "unknown path; use /v1/addresses, /v1/WORKSPACE/SERVICE/query or \
                            /v1/WORKSPACE/SERVICE/write";
-            return Err(Refused::bad(StatusCode::NOT_FOUND, "route", allowed));
+            return Err(RequestError::invalid_request(StatusCode::NOT_FOUND, "route", allowed));
         }
     };
-    let wanted = if route == Route::Addresses { Method::GET } else { Method::POST };
-    if *method != wanted {
-        let cause = format!("method {method}, allowed: {wanted}");
-        return Err(Refused::bad(StatusCode::METHOD_NOT_ALLOWED, "route", cause));
+    let expected = if route == Route::Addresses { Method::GET } else { Method::POST };
+    if *method != expected {
+        let cause = format!("method {method}, allowed: {expected}");
+        return Err(RequestError::invalid_request(StatusCode::METHOD_NOT_ALLOWED, "route", cause));
     }
     Ok(route)
 }
@@ -120,8 +123,8 @@
     pairs.into_iter().find(|(key, _)| *key == "zone").map(|(_, zone)| zone.to_owned())
 }
 
-fn answer_addresses(inner: &Inner, zone: Option<&str>) -> Outcome {
-    let current = current(inner)?;
+fn answer_addresses(inner: &Inner, zone: Option<&str>) -> HandlerResult {
+    let current = current_document(inner)?;
     let settings = inner.node.settings();
     let zone = zone.unwrap_or(&settings.instance.zone);
     let serial = inner.next_serial();
@@ -130,7 +133,7 @@
         inner.node.with_view(|view| addresses(view, &current.document, zone, port, serial));
     let answer = Addresses {
         ttl_ms: settings.entry.address_ttl.as_millis() as u64,
-        write_prefix: inner.writer.prefix().to_string(),
+        write_prefix: inner.write_executor.prefix().to_string(),
         addresses: targets,
     };
     let body = serde_json::to_vec(&answer).expect("answer types always serialize");
@@ -143,28 +146,28 @@
     request: Request<Incoming>,
     workspace: &Name,
     names: &[Name],
-) -> Outcome {
-    let current = current(inner)?;
+) -> HandlerResult {
+    let current = current_document(inner)?;
     let services = find_services(&current, workspace, names)?;
     let first = &current.document.services[services[0]];
-    let asked = deadline(inner, request.headers(), first.deadline)?;
-    let body = body(inner, request).await?;
-    let shape = shape(&body)?;
+    let requested = parse_deadline(inner, request.headers(), first.deadline)?;
+    let body = read_request_body(inner, request).await?;
+    let shape = parse_shape(&body)?;
     let row = &current.document.workspaces[first.workspace];
-    let _admitted = inner.door.enter(row, first.class).map_err(|refusal| {
-        Refused::later(
+    let _admitted = inner.admission.admit(row, first.class).map_err(|refusal| {
+        RequestError::unavailable(
             "admit",
             "here",
             "the workspace's requests in flight are at their limit",
             refusal.retry_after,
         )
     })?;
-    awake(inner).await?;
+    ensure_awake(inner).await?;
     let margin = match first.preference {
         Preference::Time => inner.node.settings().entry.margin,
-        Preference::Coverage => SHORT_MARGIN,
+        Preference::Coverage => RESPONSE_MARGIN,
     };
-    let deadline = asked.less(margin);
+    let deadline = requested.less(margin);
     let queries: Vec<_> = services
         .iter()
         .map(|service| Query {
@@ -174,18 +177,25 @@
             deadline,
         })
         .collect();
-    let runs = queries.iter().map(|query| inner.runner.run(query, Arc::clone(&current)));
-    let found: Vec<Found> = futures::future::join_all(runs).await.into_iter().flatten().collect();
+    let executions =
+        queries.iter().map(|query| inner.query_executor.run(query, Arc::clone(&current)));
+    let found: Vec<QueryResult> =
+        futures::future::join_all(executions).await.into_iter().flatten().collect();
     if found.len() < services.len() || found.iter().all(|part| part.coverage.answered == 0) {
-        let cause = describe_nothing(&found);
-        return Err(Refused::later("search", "searchers", cause, EMPTY_RETRY));
+        let cause = describe_empty_result(&found);
+        return Err(RequestError::unavailable(
+            "search",
+            "searchers",
+            cause,
+            EMPTY_RESULT_RETRY_AFTER,
+        ));
     }
-    let answer = combine(id, &shape, found);
+    let answer = combine_results(id, &shape, found);
     let outcome = if answer.complete { "complete" } else { "partial" };
     Ok((outcome, answer.response()))
 }
 
-fn describe_nothing(found: &[Found]) -> String {
+fn describe_empty_result(found: &[QueryResult]) -> String {
     let missing = found.iter().flat_map(|part| &part.coverage.missing);
     match missing.map(|missing| missing.reason).min() {
         Some(reason) => format!("no shard answered: {reason}"),
@@ -193,7 +203,7 @@
     }
 }
 
-fn combine(id: &Name, shape: &Shape, found: Vec<Found>) -> Answer {
+fn combine_results(id: &Name, shape: &Shape, found: Vec<QueryResult>) -> Answer {
     let mut answer = Answer {
         request: Name::clone(id),
         revision: 0,
@@ -227,27 +237,28 @@
     request: Request<Incoming>,
     workspace: Name,
     service: Name,
-) -> Outcome {
-    let current = current(inner)?;
+) -> HandlerResult {
+    let current = current_document(inner)?;
     let found = find_services(&current, &workspace, std::slice::from_ref(&service))?[0];
     let row = &current.document.services[found];
-    let deadline = deadline(inner, request.headers(), row.deadline)?;
-    let key = key(request.headers())?;
-    let body = body(inner, request).await?;
-    let WriteBody { record, body } = write_body(&body)?;
+    let deadline = parse_deadline(inner, request.headers(), row.deadline)?;
+    let key = parse_key(request.headers())?;
+    let body = read_request_body(inner, request).await?;
+    let WriteBody { record, body } = parse_write_body(&body)?;
     let workspace_row = &current.document.workspaces[row.workspace];
-    let _admitted = inner.door.enter(workspace_row, row.class).map_err(|refusal| {
-        Refused::later(
+    let _admitted = inner.admission.admit(workspace_row, row.class).map_err(|refusal| {
+        RequestError::unavailable(
             "admit",
             "here",
             "the workspace's requests in flight are at their limit; the write was not run",
             refusal.retry_after,
         )
     })?;
-    awake(inner).await?;
-    let key = key.unwrap_or_else(|| inner.writer.own_key());
-    let order = Order { workspace, service, record, body, deadline: deadline.less(SHORT_MARGIN) };
-    let outcome = inner.writer.run(key.clone(), order).await;
+    ensure_awake(inner).await?;
+    let key = key.unwrap_or_else(|| inner.write_executor.generate_key());
+    let write =
+        WriteRequest { workspace, service, record, body, deadline: deadline.less(RESPONSE_MARGIN) };
+    let outcome = inner.write_executor.run(key.clone(), write).await;
     let answer = WriteAnswer::new(Name::clone(id), Name::from(key.to_string()), outcome);
     let label = match answer.outcome {
         bergamot_write::Status::Done => "done",
@@ -257,27 +268,38 @@
     Ok((label, answer.response(current.document.revision)))
 }
 
-fn current(inner: &Inner) -> Result<Arc<Current>, Refused> {
+fn current_document(inner: &Inner) -> Result<Arc<Current>, RequestError> {
     inner.node.current().ok_or_else(|| {
-        Refused::later("start", "here", "no document is in force yet", CATCH_UP_RETRY)
+        RequestError::unavailable(
+            "start",
+            "here",
+            "no document is in force yet",
+            CATCH_UP_RETRY_AFTER,
+        )
     })
 }
 
-async fn awake(inner: &Inner) -> Result<(), Refused> {
+async fn ensure_awake(inner: &Inner) -> Result<(), RequestError> {
     if inner.node.awake().await {
         return Ok(());
     }
-    Err(Refused::later("wake", "here", "the entry slept and catches up", CATCH_UP_RETRY))
+    Err(RequestError::unavailable(
+        "wake",
+        "here",
+        "the entry slept and catches up",
+        CATCH_UP_RETRY_AFTER,
+    ))
 }
 
 fn find_services(
     current: &Current,
     workspace: &Name,
     names: &[Name],
-) -> Result<Vec<Service>, Refused> {
-    let unknown = |cause: String| Refused::bad(StatusCode::NOT_FOUND, "find service", cause);
-    if names.len() > MOST_SERVICES {
-        return Err(unknown(format!("{} services, allowed: at most {MOST_SERVICES}", names.len())));
+) -> Result<Vec<Service>, RequestError> {
+    let unknown =
+        |cause: String| RequestError::invalid_request(StatusCode::NOT_FOUND, "find service", cause);
+    if names.len() > MAX_SERVICES {
+        return Err(unknown(format!("{} services, allowed: at most {MAX_SERVICES}", names.len())));
     }
     let mut services = Vec::with_capacity(names.len());
     for name in names {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,20 +1,20 @@
-//! The entry service: callers' HTTP, plans, merges and answers.
+//! The entry service: the HTTP interface for callers, query planning and merging, and writes.
 //!
-//! An entry tells callers which addresses to use, admits or refuses their requests at
-//! once, pins a snapshot, sends each cell's part to a home of that cell, merges what
-//! comes back and states truly what the answer covers. Writes go through the run that
-//! their key names. See `docs/design/0001-two-tiers.md`.
+//! An entry tells callers which addresses to use. It admits or refuses each request
+//! immediately, pins a snapshot, sends each cell's part of a query to a home of that cell,
+//! merges the replies and reports what the answer covers. Writes are executed by the entry
+//! run that their key names. See `docs/design/0001-two-tiers.md`.
 
-mod answer;
-mod door;
+mod admission;
 mod http;
-mod meter;
-mod mute;
+mod metrics;
 mod plan;
-mod read;
+mod request;
+mod response;
+mod response_tracker;
 mod search;
 mod service;
 mod write;
 
-pub use answer::{Answer, ErrorBody, Fault, ServiceAnswer, WriteAnswer};
+pub use response::{Answer, ErrorBody, Fault, ServiceAnswer, WriteAnswer};
 pub use service::{Entry, Running};
--- a/crates/entry/src/meter.rs
+++ b/crates/entry/src/metrics.rs
@@ -8,12 +8,12 @@
 
 /// The metrics of an entry, by workspace, service and outcome.
 #[derive(Clone, Debug)]
-pub(crate) struct Meter {
+pub(crate) struct Metrics {
     requests: IntCounterVec,
     seconds: HistogramVec,
 }
 
-impl Meter {
+impl Metrics {
     pub(crate) fn new(registry: &Registry) -> Self {
         let labels = ["service", "outcome"];
         let opts = Opts::new("bergamot_requests_total", "Callers' requests, by outcome.");
@@ -28,9 +28,9 @@
         Self { requests, seconds }
     }
 
-    /// Records a request that has its final answer.
-    pub(crate) fn record(&self, service: &str, outcome: &str, took: Duration) {
+    /// Records a request that received its final answer.
+    pub(crate) fn record(&self, service: &str, outcome: &str, latency: Duration) {
         self.requests.with_label_values(&[service, outcome]).inc();
-        self.seconds.with_label_values(&[service, outcome]).observe(took.as_secs_f64());
+        self.seconds.with_label_values(&[service, outcome]).observe(latency.as_secs_f64());
     }
 }
--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a query: its snapshot and which cell answers which shards.
+//! Query plans: the pinned snapshot, and the shards to query in each cell.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 }
 
 impl Plan {
-    /// Plans a query for a version of the index.
+    /// Plans a query of one index version.
     pub(crate) fn new(
         current: Arc<Current>,
         service: Service,
@@ -35,11 +35,11 @@
         Self { current, service, pin, shape, cells }
     }
 
-    /// Starts the merge of the plan's answers.
+    /// Creates the merge for the results of the planned shards.
     pub(crate) fn merge(&self) -> Merge {
         let document = &self.current.document;
-        let asked = self.cells.values().flatten();
-        let positions = asked.map(|shard| (*shard, document.shards[*shard].position));
+        let shards = self.cells.values().flatten();
+        let positions = shards.map(|shard| (*shard, document.shards[*shard].position));
         Merge::new(self.pin, document.services[self.service].shards.len(), positions)
     }
 }
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/response.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers to callers.
+//! Responses to callers: headers and JSON bodies.
 
 use std::time::Duration;
 
@@ -20,87 +20,92 @@
 /// The answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The name of the request.
+    /// The request identifier.
     pub request: Name,
     /// The revision of the document under which the query was planned.
     pub revision: Revision,
-    /// Whether the answer covers every service as a whole.
+    /// Whether the answer covers all shards of every service.
     pub complete: bool,
-    /// How many sub-queries were sent to searchers.
+    /// Number of sub-queries sent to searchers.
     pub attempts: u32,
-    /// Each service with its snapshot and coverage.
+    /// The snapshot and coverage of each service.
     pub services: Vec<ServiceAnswer>,
     /// The hits.
     pub hits: Vec<Hit>,
 }
 
-/// The part of an answer that one service gave.
+/// The snapshot and coverage of one service in an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
     /// The service.
     pub service: Name,
     /// The epoch of the partition map.
     pub epoch: Epoch,
-    /// The version of the index.
+    /// The index version.
     pub version: Version,
-    /// What the part covers.
+    /// The shards that the hits of this service come from.
     pub coverage: Coverage,
 }
 
 /// The answer to a write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteAnswer {
-    /// The name of the request.
+    /// The request identifier.
     pub request: Name,
-    /// The key under which the write took effect or may have.
+    /// The key under which the write took effect or may have taken effect.
     pub key: Name,
-    /// What became of the write.
+    /// The outcome of the write.
     pub outcome: Status,
-    /// Why.
+    /// The reason for the outcome.
     pub reason: Name,
-    /// What the searcher gave back for a write that is done.
+    /// The searcher's receipt if the write was done.
     pub receipt: Option<Name>,
 }
 
-/// The body of an answer that is an error.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The name of the request.
+    /// The request identifier.
     pub request: Name,
-    /// What went wrong.
+    /// The error.
     pub error: Fault,
-    /// When to come back, in milliseconds, where coming back may help.
+    /// Delay after which to retry, in milliseconds, if a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What went wrong, where and with whom.
+/// Describes an error: the step that failed, the peer and the cause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What was being done.
+    /// The step that failed.
     pub step: Name,
-    /// With whom.
+    /// The peer that the step involved.
     pub peer: Name,
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: Name,
 }
 
-/// A request that ends without an answer.
+/// An error that ends a request, and how to respond to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Refused {
+pub(crate) struct RequestError {
     pub(crate) status: StatusCode,
     pub(crate) fault: Fault,
     pub(crate) retry_after: Option<Duration>,
 }
 
-impl Refused {
-    /// Refuses what the caller can only mend by asking otherwise.
-    pub(crate) fn bad(status: StatusCode, step: &str, cause: impl Into<Name>) -> Self {
+impl RequestError {
+    /// Creates an error that the caller can only avoid by changing the request.
+    pub(crate) fn invalid_request(status: StatusCode, step: &str, cause: impl Into<Name>) -> Self {
         let fault = Fault { step: step.into(), peer: "caller".into(), cause: cause.into() };
         Self { status, fault, retry_after: None }
     }
 
-    /// Refuses what may succeed later, and says when.
-    pub(crate) fn later(step: &str, peer: &str, cause: impl Into<Name>, after: Duration) -> Self {
+    /// Creates an error for a request that may succeed if the caller retries it after a delay.
+    pub(crate) fn unavailable(
+        step: &str,
+        peer: &str,
+        cause: impl Into<Name>,
+        after: Duration,
+    ) -> Self {
         let fault = Fault { step: step.into(), peer: peer.into(), cause: cause.into() };
         Self { status: StatusCode::SERVICE_UNAVAILABLE, fault, retry_after: Some(after) }
     }
@@ -109,10 +114,10 @@
         let retry_after_ms = self.retry_after.map(|after| after.as_millis().max(1) as u64);
         let body = ErrorBody { request: Name::clone(request), error: self.fault, retry_after_ms };
         let mut response = encode(self.status, &body);
-        set(&mut response, REQUEST, request);
+        set_header(&mut response, REQUEST, request);
         if let Some(after) = retry_after_ms {
-            set(&mut response, RETRY_AFTER_MS, &after.to_string());
-            set(&mut response, RETRY_AFTER, &after.div_ceil(1000).to_string());
+            set_header(&mut response, RETRY_AFTER_MS, &after.to_string());
+            set_header(&mut response, RETRY_AFTER, &after.div_ceil(1000).to_string());
         }
         response
     }
@@ -125,10 +130,10 @@
         let coverage = self.services.iter().map(|part| part.coverage.to_string()).collect();
         let versions = self.services.iter().map(|part| part.version.to_string()).collect();
         let state = if self.complete { "complete" } else { "partial" };
-        set(&mut response, REQUEST, &self.request);
-        set(&mut response, REVISION, &self.revision.to_string());
-        set(&mut response, COVERAGE, &format!("{} {state}", join(coverage)));
-        set(&mut response, VERSION, &join(versions));
+        set_header(&mut response, REQUEST, &self.request);
+        set_header(&mut response, REVISION, &self.revision.to_string());
+        set_header(&mut response, COVERAGE, &format!("{} {state}", join(coverage)));
+        set_header(&mut response, VERSION, &join(versions));
         response
     }
 }
@@ -146,24 +151,24 @@
             Status::Unknown => StatusCode::ACCEPTED,
         };
         let mut response = encode(status, self);
-        set(&mut response, REQUEST, &self.request);
-        set(&mut response, REVISION, &revision.to_string());
-        set(&mut response, OUTCOME, &self.outcome.to_string());
+        set_header(&mut response, REQUEST, &self.request);
+        set_header(&mut response, REVISION, &revision.to_string());
+        set_header(&mut response, OUTCOME, &self.outcome.to_string());
         if self.outcome == Status::NotRun {
-            set(&mut response, RETRY_AFTER_MS, &NOT_RUN_RETRY.as_millis().to_string());
+            set_header(&mut response, RETRY_AFTER_MS, &NOT_RUN_RETRY.as_millis().to_string());
         }
         response
     }
 }
 
-/// When to come back after a write that did not run.
+/// Delay after which to retry a write that did not run.
 const NOT_RUN_RETRY: Duration = Duration::from_millis(100);
 
 fn encode<T: Serialize>(status: StatusCode, body: &T) -> Response<Body> {
     json(status, serde_json::to_vec(body).expect("answer types always serialize"))
 }
 
-fn set(response: &mut Response<Body>, name: HeaderName, value: &str) {
+fn set_header(response: &mut Response<Body>, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -1,9 +1,10 @@
-//! Running a query: plan, ask the cells, merge, and plan again once if it helps.
+//! Query execution: plan, query the cells, merge the replies, and plan again if that may
+//! improve the coverage.
 //!
-//! A reply under another revision or version is never merged. Where a daemon is ahead,
-//! the entry catches up and plans again; where the pinned version is gone everywhere,
-//! it plans again at another version, once. Otherwise the answer is partial and says
-//! so (docs/design/0003-snapshot-and-coverage.md).
+//! A reply for another revision or version is never merged. If a gather has a newer
+//! revision, the entry catches up and plans again. If the pinned version is gone, it plans
+//! again with another version. Otherwise the answer is partial and its coverage says so
+//! (docs/design/0003-snapshot-and-coverage.md).
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,19 +18,19 @@
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 
-use crate::mute::Mutes;
 use crate::plan::Plan;
+use crate::response_tracker::ResponseTracker;
 
-/// How many times a query is planned at the most.
-const MOST_PLANS: usize = 3;
+/// Maximum number of times that a query is planned.
+const MAX_PLANS: usize = 3;
 
-/// How long to look for the versions of a service that was never asked.
-const LOOK: Duration = Duration::from_millis(250);
+/// How long to ask the gathers for the versions of a service if none is known.
+const VERSION_LOOKUP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Entry-level second requests that may be made before any work has earned them, and
-/// the part of the work that they may add.
-const SECOND_RESERVE: f64 = 8.0;
-const SECOND_FRACTION: f64 = 0.02;
+/// Initial and maximum number of tokens in the budget for requests to a second home of a cell, and
+/// the number of such requests allowed as a fraction of the cell queries.
+const SECOND_REQUEST_RESERVE: f64 = 8.0;
+const SECOND_REQUEST_FRACTION: f64 = 0.02;
 
 /// A caller's query on one service.
 #[derive(Clone, Debug)]
@@ -40,116 +41,125 @@
     pub(crate) deadline: Deadline,
 }
 
-/// What a query on one service found.
+/// The result of a query on one service, and the plan that produced it.
 #[derive(Debug)]
-pub(crate) struct Found {
+pub(crate) struct QueryResult {
     pub(crate) plan: Plan,
     pub(crate) hits: Vec<Hit>,
     pub(crate) coverage: Coverage,
     pub(crate) attempts: u32,
 }
 
-/// Why a cell gave no reply.
+/// Why a cell query failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silent {
-    /// A gather has a higher revision in force.
-    Ahead(u64),
-    /// No home could be reached or took the request.
-    Homeless,
-    /// No reply came in time.
-    Late,
+enum CellError {
+    /// A gather has a newer revision in force.
+    NewerRevision(u64),
+    /// No home could be reached or accepted the request.
+    NoHome,
+    /// No reply arrived in time.
+    TimedOut,
 }
 
-/// What an entry needs for running queries.
+/// Executes the queries of one entry.
 #[derive(Debug)]
-pub(crate) struct Runner {
+pub(crate) struct QueryExecutor {
     node: Arc<Node>,
     channels: Channels<GatherClient>,
+    /// The known index versions, and the hash of the document that numbers the shards.
     catalog: Mutex<(u64, Catalog)>,
-    mutes: Mutex<Mutes>,
-    seconds: Mutex<Budget>,
+    response_tracker: Mutex<ResponseTracker>,
+    second_request_budget: Mutex<Budget>,
 }
 
-impl Runner {
+impl QueryExecutor {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self {
             channels: Channels::new(node.settings().instance.address),
             node,
             catalog: Mutex::default(),
-            mutes: Mutex::default(),
-            seconds: Mutex::new(Budget::new(SECOND_FRACTION, SECOND_RESERVE)),
+            response_tracker: Mutex::default(),
+            second_request_budget: Mutex::new(Budget::new(
+                SECOND_REQUEST_FRACTION,
+                SECOND_REQUEST_RESERVE,
+            )),
         }
     }
 
-    /// Returns the channels to gathers, which writes use as well.
+    /// Returns the channels to gathers, which writes use too.
     pub(crate) fn channels(&self) -> &Channels<GatherClient> {
         &self.channels
     }
 
-    /// Runs a query to its end, which is before its deadline.
+    /// Executes a query and returns its best result before the deadline.
     ///
-    /// Returns nothing where no version of the service is known: nothing can be asked.
-    pub(crate) async fn run(&self, query: &Query, current: Arc<Current>) -> Option<Found> {
+    /// Returns `None` if no version of the service is known, so that nothing can be queried.
+    pub(crate) async fn run(&self, query: &Query, current: Arc<Current>) -> Option<QueryResult> {
         let mut current = current;
         let mut service = query.service;
         let mut attempts = 0;
-        let mut tried = Vec::new();
+        let mut planned = Vec::new();
         let mut best: Option<(Plan, Outcome)> = None;
-        for _ in 0..MOST_PLANS {
+        for _ in 0..MAX_PLANS {
             let Some(version) = self.version(query, service, &current).await else {
                 break;
             };
-            if tried.contains(&(current.document.revision, version)) {
+            if planned.contains(&(current.document.revision, version)) {
                 break;
             }
-            tried.push((current.document.revision, version));
+            planned.push((current.document.revision, version));
             let plan = Plan::new(Arc::clone(&current), service, query.shape.clone(), version);
             let mut merge = plan.merge();
-            let (sent, ahead) = self.ask(query, &plan, &mut merge).await;
+            let (sent, newer_revision) = self.query_cells(query, &plan, &mut merge).await;
             attempts += sent;
             let outcome = merge.finish(&plan.shape);
-            let again = worth_planning_again(&outcome);
-            let better =
+            let replan = should_replan(&outcome);
+            let is_better =
                 |(_, best): &(Plan, Outcome)| outcome.coverage.answered > best.coverage.answered;
-            if best.as_ref().is_none_or(better) {
+            if best.as_ref().is_none_or(is_better) {
                 best = Some((plan, outcome));
             }
             let left = query.deadline.left(Instant::now());
-            if (ahead.is_none() && !again) || left.is_zero() {
+            if (newer_revision.is_none() && !replan) || left.is_zero() {
                 break;
             }
-            if let Some(revision) = ahead {
+            if let Some(revision) = newer_revision {
                 self.node.catch_up_to(revision, left / 2).await;
             }
-            // The document may have changed: find the service in the new one by name.
-            let Some((fresh, found)) = self.relocate(&current, service) else {
+            // The document may have changed and renumbered the services.
+            let Some((newer, found)) = self.find_in_current_document(&current, service) else {
                 break;
             };
-            (current, service) = (fresh, found);
+            (current, service) = (newer, found);
         }
         let (plan, Outcome { hits, coverage }) = best?;
-        Some(Found { plan, hits, coverage, attempts })
+        Some(QueryResult { plan, hits, coverage, attempts })
     }
 
-    /// Finds a service of one document in the document that is in force now.
-    fn relocate(&self, before: &Current, service: Service) -> Option<(Arc<Current>, Service)> {
-        let row = &before.document.services[service];
-        let workspace = &before.document.workspaces[row.workspace].name;
+    /// Finds a service of an earlier document by name in the document that is now in force.
+    fn find_in_current_document(
+        &self,
+        previous: &Current,
+        service: Service,
+    ) -> Option<(Arc<Current>, Service)> {
+        let row = &previous.document.services[service];
+        let workspace = &previous.document.workspaces[row.workspace].name;
         let current = self.node.current()?;
         let found = current.document.service(workspace, &row.name)?;
         Some((current, found))
     }
 
-    /// Returns the version to pin, asking the gathers where none is known yet.
+    /// Returns the version to pin; asks the gathers if none is known yet.
     async fn version(&self, query: &Query, service: Service, current: &Current) -> Option<Version> {
         let shards = query.shape.shards(&current.document.services[service]);
-        if let Some(version) = self.known(current, &shards) {
+        if let Some(version) = self.known_version(current, &shards) {
             return Some(version);
         }
-        let look = Deadline::after(Instant::now(), LOOK).earlier(query.deadline);
-        while !look.passed(Instant::now()) {
-            self.look(current, service, look).await;
-            if let Some(version) = self.known(current, &shards) {
+        let lookup_deadline =
+            Deadline::after(Instant::now(), VERSION_LOOKUP_TIMEOUT).earlier(query.deadline);
+        while !lookup_deadline.passed(Instant::now()) {
+            self.fetch_versions(current, service, lookup_deadline).await;
+            if let Some(version) = self.known_version(current, &shards) {
                 return Some(version);
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -157,7 +167,7 @@
         None
     }
 
-    fn known(&self, current: &Current, shards: &[Shard]) -> Option<Version> {
+    fn known_version(&self, current: &Current, shards: &[Shard]) -> Option<Version> {
         let mut catalog = lock(&self.catalog);
         if catalog.0 != current.document.hash {
             *catalog = (current.document.hash, Catalog::default());
@@ -165,17 +175,19 @@
         catalog.1.best_version(shards)
     }
 
-    fn learn(&self, current: &Current, versions: Vec<(Shard, Vec<Version>)>) {
+    fn record_versions(&self, current: &Current, versions: Vec<(Shard, Vec<Version>)>) {
         let mut catalog = lock(&self.catalog);
         if catalog.0 == current.document.hash {
-            for (shard, held) in versions.into_iter().filter(|(_, held)| !held.is_empty()) {
-                catalog.1.set_versions(shard, held);
+            for (shard, shard_versions) in
+                versions.into_iter().filter(|(_, shard_versions)| !shard_versions.is_empty())
+            {
+                catalog.1.set_versions(shard, shard_versions);
             }
         }
     }
 
-    /// Asks a home of each of the service's cells for the versions that it can serve.
-    async fn look(&self, current: &Current, service: Service, deadline: Deadline) {
+    /// Asks one home of each of the service's cells for the versions that its shards can serve.
+    async fn fetch_versions(&self, current: &Current, service: Service, deadline: Deadline) {
         let document = &current.document;
         let homes = self.node.homes();
         let mut cells: Vec<Cell> = document.services[service]
@@ -184,7 +196,7 @@
             .map(|shard| document.layout.cell(*shard))
             .collect();
         cells.dedup();
-        let asks = cells.into_iter().map(|cell| {
+        let requests = cells.into_iter().map(|cell| {
             let order = homes.order(cell, service);
             async move {
                 for home in order.into_iter().filter(|home| self.node.takes_work(*home)) {
@@ -194,31 +206,37 @@
                     let context = context(deadline);
                     let versions = client.versions(context, document.revision, service).await;
                     if let Ok(Ok(versions)) = versions {
-                        self.learn(current, versions);
+                        self.record_versions(current, versions);
                         return;
                     }
                 }
             }
         });
-        futures::future::join_all(asks).await;
+        futures::future::join_all(requests).await;
     }
 
-    /// Asks every cell and merges; returns the sub-queries sent and a higher revision.
-    async fn ask(&self, query: &Query, plan: &Plan, merge: &mut Merge) -> (u32, Option<u64>) {
+    /// Queries every cell and merges the replies. Returns the number of sub-queries sent and the
+    /// highest newer revision that a gather reported.
+    async fn query_cells(
+        &self,
+        query: &Query,
+        plan: &Plan,
+        merge: &mut Merge,
+    ) -> (u32, Option<u64>) {
         let mut cells: FuturesUnordered<_> = plan
             .cells
             .iter()
             .map(|(cell, shards)| async move {
-                (shards, self.ask_cell(query, plan, *cell, shards).await)
+                (shards, self.query_cell(query, plan, *cell, shards).await)
             })
             .collect();
         let mut attempts = 0;
-        let mut ahead = None;
+        let mut newer_revision = None;
         while let Some((shards, reply)) = cells.next().await {
             match reply {
                 Ok(reply) => {
                     attempts += reply.attempts;
-                    self.learn(&plan.current, reply.versions);
+                    self.record_versions(&plan.current, reply.versions);
                     for (shard, reason) in reply.missing {
                         merge.mark_missing(shard, reason);
                     }
@@ -226,103 +244,109 @@
                         let shard = partial.shard;
                         if let Err(rejection) = merge.offer(partial) {
                             log::warn!(
-                                "query: {} got a wrong answer of {shard}: {rejection:?}.",
+                                "query: The result of {shard} for {} was rejected: {rejection:?}.",
                                 query.id
                             );
                         }
                     }
                 }
-                Err(silent) => {
-                    let reason = match silent {
-                        Silent::Late => Reason::Deadline,
-                        Silent::Homeless | Silent::Ahead(_) => Reason::Unreachable,
+                Err(error) => {
+                    let reason = match error {
+                        CellError::TimedOut => Reason::Deadline,
+                        CellError::NoHome | CellError::NewerRevision(_) => Reason::Unreachable,
                     };
                     for shard in shards {
                         merge.mark_missing(*shard, reason);
                     }
-                    if let Silent::Ahead(revision) = silent {
-                        ahead = ahead.max(Some(revision));
+                    if let CellError::NewerRevision(revision) = error {
+                        newer_revision = newer_revision.max(Some(revision));
                     }
                 }
             }
         }
-        (attempts, ahead)
+        (attempts, newer_revision)
     }
 
-    /// Asks the homes of a cell: the first in order, then others as it proves needed.
-    async fn ask_cell(
+    /// Queries a cell through its homes: the first in order, the next if a home fails, and a second
+    /// one if no reply has arrived after a while.
+    async fn query_cell(
         &self,
         query: &Query,
         plan: &Plan,
         cell: Cell,
         shards: &[Shard],
-    ) -> Result<Reply, Silent> {
+    ) -> Result<Reply, CellError> {
         let mut homes = self.candidates(cell, plan.service).into_iter();
         let failover = self.node.settings().entry.failover;
         let mut running = FuturesUnordered::new();
-        let mut silent = Silent::Homeless;
+        let mut error = CellError::NoHome;
         match homes.next() {
-            Some(home) => running.push(self.ask_home(query, plan, home, shards)),
-            None => return Err(silent),
+            Some(home) => running.push(self.query_home(query, plan, home, shards)),
+            None => return Err(error),
         }
-        lock(&self.seconds).earn();
+        lock(&self.second_request_budget).earn();
         let half = query.deadline.left(Instant::now()) / 2;
         let second_at = Instant::now() + half.max(failover);
-        let mut waiting = true;
+        let mut second_pending = true;
         loop {
             tokio::select! {
                 biased;
                 Some(reply) = running.next() => match reply {
                     Ok(reply) => return Ok(reply),
-                    Err(Silent::Ahead(revision)) => return Err(Silent::Ahead(revision)),
-                    Err(Silent::Late) => return Err(Silent::Late),
-                    Err(Silent::Homeless) => match homes.next() {
-                        Some(home) => running.push(self.ask_home(query, plan, home, shards)),
-                        None if running.is_empty() => return Err(silent),
+                    Err(CellError::NewerRevision(revision)) => {
+                        return Err(CellError::NewerRevision(revision));
+                    }
+                    Err(CellError::TimedOut) => return Err(CellError::TimedOut),
+                    Err(CellError::NoHome) => match homes.next() {
+                        Some(home) => running.push(self.query_home(query, plan, home, shards)),
+                        None if running.is_empty() => return Err(error),
                         None => {}
                     },
                 },
-                () = tokio::time::sleep_until(second_at.into()), if waiting => {
-                    waiting = false;
-                    silent = Silent::Late;
-                    if lock(&self.seconds).spend() && let Some(home) = homes.next() {
-                        running.push(self.ask_home(query, plan, home, shards));
+                () = tokio::time::sleep_until(second_at.into()), if second_pending => {
+                    second_pending = false;
+                    error = CellError::TimedOut;
+                    if lock(&self.second_request_budget).spend() && let Some(home) = homes.next() {
+                        running.push(self.query_home(query, plan, home, shards));
                     }
                 }
             }
         }
     }
 
-    /// The homes of a cell to ask, in order; mute ones go last unless a trial is due.
+    /// Returns the homes of a cell in the order in which to query them. Unresponsive ones are last
+    /// unless a retry is due.
     pub(crate) fn candidates(&self, cell: Cell, service: Service) -> Vec<Endpoint> {
         let order = self.node.homes().order(cell, service);
         let now = Instant::now();
         let limit = self.node.settings().entry.failover * 2;
-        let mut mutes = lock(&self.mutes);
-        let (mut speaking, mut mute) = (Vec::new(), Vec::new());
+        let mut response_tracker = lock(&self.response_tracker);
+        let (mut responsive, mut unresponsive) = (Vec::new(), Vec::new());
         for home in order.into_iter().filter(|home| self.node.takes_work(*home)) {
             let address = self.address(home);
-            if mutes.is_mute(address, now, limit) && !mutes.try_again(address, now) {
-                mute.push(home);
+            if response_tracker.is_unresponsive(address, now, limit)
+                && !response_tracker.begin_retry(address, now)
+            {
+                unresponsive.push(home);
             } else {
-                speaking.push(home);
+                responsive.push(home);
             }
         }
-        speaking.extend(mute);
-        speaking
+        responsive.extend(unresponsive);
+        responsive
     }
 
-    async fn ask_home(
+    async fn query_home(
         &self,
         query: &Query,
         plan: &Plan,
         home: Endpoint,
         shards: &[Shard],
-    ) -> Result<Reply, Silent> {
+    ) -> Result<Reply, CellError> {
         let address = self.address(home);
         let client = self.channels.get(address).await.map_err(|fault| {
-            log::debug!("query: {} can't reach {home}: {fault}.", query.id);
-            Silent::Homeless
+            log::debug!("query: {} failed to connect to {home}: {fault}.", query.id);
+            CellError::NoHome
         })?;
         let sub_query = SubQuery {
             id: Name::clone(&query.id),
@@ -331,38 +355,38 @@
             shards: shards.to_vec(),
             shape: plan.shape.clone(),
         };
-        lock(&self.mutes).sent(address, Instant::now());
+        lock(&self.response_tracker).record_request(address, Instant::now());
         let reply = client.search(context(query.deadline), sub_query).await;
         match reply {
             Ok(reply) => {
-                lock(&self.mutes).answered(address);
+                lock(&self.response_tracker).record_response(address);
                 reply.map_err(|refusal| match refusal {
-                    Refusal::Revision(theirs) if theirs > plan.pin.revision => {
-                        Silent::Ahead(theirs)
+                    Refusal::Revision(revision) if revision > plan.pin.revision => {
+                        CellError::NewerRevision(revision)
                     }
-                    Refusal::Revision(_) | Refusal::NotHome | Refusal::Asleep => Silent::Homeless,
+                    Refusal::Revision(_) | Refusal::NotHome | Refusal::Asleep => CellError::NoHome,
                 })
             }
-            Err(tarpc::client::RpcError::DeadlineExceeded) => Err(Silent::Late),
+            Err(tarpc::client::RpcError::DeadlineExceeded) => Err(CellError::TimedOut),
             Err(error) => {
-                log::debug!("query: {} lost {home}: {error}.", query.id);
+                log::debug!("query: The request of {} to {home} failed: {error}.", query.id);
                 self.channels.forget(address).await;
-                Err(Silent::Homeless)
+                Err(CellError::NoHome)
             }
         }
     }
 
-    /// Returns where a gather takes requests.
+    /// Returns the address at which a gather accepts requests of entries.
     pub(crate) fn address(&self, home: Endpoint) -> SocketAddr {
         debug_assert_eq!(home.role, Role::Gather, "homes are gathers");
         SocketAddr::from((home.ip, self.node.settings().ports.gather_peers))
     }
 }
 
-/// Tells whether another version may cover what this one could not.
-fn worth_planning_again(outcome: &Outcome) -> bool {
-    let moved = |reason| matches!(reason, Reason::VersionGone | Reason::WrongSnapshot);
-    outcome.coverage.missing.iter().any(|missing| moved(missing.reason))
+/// Returns whether planning with another version may improve the coverage.
+fn should_replan(outcome: &Outcome) -> bool {
+    let version_missing = |reason| matches!(reason, Reason::VersionGone | Reason::WrongSnapshot);
+    outcome.coverage.missing.iter().any(|missing| version_missing(missing.reason))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,4 +1,4 @@
-//! The entry as a running service.
+//! Starting, serving and stopping an entry.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 use bergamot_members::{Role, State};
 use bergamot_net::{Fault, listen, serve};
 use bergamot_node::Node;
-use bergamot_wire::{Entry as Requests, run_requests, serve_requests, transport};
+use bergamot_wire::{Entry as EntryRpc, run_requests, serve_requests, transport};
 use bergamot_write::{Key, Outcome};
 use tarpc::context::Context;
 use tarpc::server::Channel;
@@ -17,23 +17,24 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::door::Door;
+use crate::admission::AdmissionControl;
 use crate::http;
-use crate::meter::Meter;
-use crate::search::Runner;
-use crate::write::{FORWARD_MARGIN, Order, Writer};
+use crate::metrics::Metrics;
+use crate::search::QueryExecutor;
+use crate::write::{FORWARD_MARGIN, WriteExecutor, WriteRequest};
 
-/// How long peers may need to hear a farewell, on top of the life of address answers.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Time for other members to learn that an entry is leaving. The entry keeps serving for this long
+/// plus the lifetime of address answers.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// What the parts of an entry share.
+/// State shared by the request handlers of an entry.
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) node: Arc<Node>,
-    pub(crate) meter: Meter,
-    pub(crate) door: Arc<Door>,
-    pub(crate) runner: Arc<Runner>,
-    pub(crate) writer: Arc<Writer>,
+    pub(crate) metrics: Metrics,
+    pub(crate) admission: Arc<AdmissionControl>,
+    pub(crate) query_executor: Arc<QueryExecutor>,
+    pub(crate) write_executor: Arc<WriteExecutor>,
     draining: AtomicBool,
     serial: AtomicU64,
 }
@@ -52,7 +53,7 @@
 #[derive(Debug)]
 pub struct Entry;
 
-/// An entry that runs.
+/// A handle to a running entry.
 #[derive(Debug)]
 pub struct Running {
     inner: Arc<Inner>,
@@ -62,7 +63,7 @@
 }
 
 impl Entry {
-    /// Starts an entry and returns once it has a document and serves.
+    /// Starts an entry and returns once it has a document and accepts requests.
     pub async fn start(settings: Arc<Settings>) -> Result<Running, Fault> {
         let node = Node::start(settings, Role::Entry).await?;
         let settings = Arc::clone(node.settings());
@@ -70,12 +71,12 @@
         let callers = listen((ip, settings.ports.entry_callers).into()).await?;
         let peers = listen((ip, settings.ports.entry_peers).into()).await?;
         node.join().await;
-        let runner = Arc::new(Runner::new(Arc::clone(&node)));
+        let query_executor = Arc::new(QueryExecutor::new(Arc::clone(&node)));
         let inner = Arc::new(Inner {
-            meter: Meter::new(node.registry()),
-            door: Arc::default(),
-            writer: Writer::new(Arc::clone(&node), Arc::clone(&runner)),
-            runner,
+            metrics: Metrics::new(node.registry()),
+            admission: Arc::default(),
+            write_executor: WriteExecutor::new(Arc::clone(&node), Arc::clone(&query_executor)),
+            query_executor,
             node,
             draining: AtomicBool::new(false),
             serial: AtomicU64::new(0),
@@ -95,40 +96,42 @@
 }
 
 impl Running {
-    /// Returns the node, for its state.
+    /// Returns the node that this entry runs on.
     pub fn node(&self) -> &Arc<Node> {
         &self.inner.node
     }
 
-    /// Waits until a task has ended without which the service can't go on.
+    /// Waits until a task that the service requires has ended.
     pub async fn failed(&self) {
         self.inner.node.tasks().failed().await;
     }
 
-    /// Ends at once and without a farewell, as a crash does. For tests and measurements.
+    /// Stops immediately without notifying other members, as a crash does. For tests and
+    /// measurements.
     pub fn abort(self) {
         self.stop.cancel();
         self.inner.node.close();
     }
 
-    /// Stops gracefully: says farewell, serves until the last address answer that named
-    /// this entry has expired, finishes what is in flight, then closes.
+    /// Stops gracefully: announces that it is leaving, serves until the last address answer that
+    /// named this entry has expired, finishes requests in flight, then closes. The drain time in
+    /// the settings limits the wait for requests in flight.
     pub async fn stop(self) {
         let node = &self.inner.node;
         let settings = &node.settings().entry;
         let start = Instant::now();
         node.leave(State::Leaving).await;
         self.inner.draining.store(true, Ordering::Relaxed);
-        let until = start + settings.address_ttl + SETTLE;
+        let until = start + settings.address_ttl + LEAVE_PROPAGATION_TIME;
         tokio::time::sleep_until(until.into()).await;
         self.stop.cancel();
-        let finished = async {
-            // A panic in a handler has been reported already.
+        let drained = async {
+            // A panic in a handler has already been reported.
             let _ = self.callers.await;
             let _ = self.peers.await;
         };
-        if tokio::time::timeout(settings.drain, finished).await.is_err() {
-            log::warn!("entry: Requests were still in flight after {:?}.", settings.drain);
+        if tokio::time::timeout(settings.drain, drained).await.is_err() {
+            log::warn!("entry: Stopping with requests still in flight after {:?}.", settings.drain);
         }
         node.leave(State::Left).await;
         node.close();
@@ -154,31 +157,33 @@
     stop: CancellationToken,
 ) -> JoinHandle<()> {
     let tasks = inner.node.tasks().until(stop.clone());
-    let server = Server(Arc::clone(&inner.writer));
+    let server = Server(Arc::clone(&inner.write_executor));
     let serving = serve_requests(listener, stop, move |stream, open| {
-        let requests = transport(stream).execute(Requests::serve(server.clone()));
+        let requests = transport(stream).execute(EntryRpc::serve(server.clone()));
         tokio::spawn(run_requests(requests, open));
     });
     tasks.spawn("peers", serving)
 }
 
-/// Adds the parts of the state dump. They hold the service weakly: the node that keeps
-/// them is itself a part of the service.
+/// Adds this service's parts to the state dump.
+///
+/// The parts have weak references to the service: the service owns the node, which owns the
+/// parts, so strong references would form a cycle.
 fn add_dumps(inner: &Arc<Inner>) {
     let part = |title, dump: fn(&Inner) -> String| {
-        let this = Arc::downgrade(inner);
-        let text = move || this.upgrade().map_or_else(String::new, |inner| dump(&inner));
+        let weak_inner = Arc::downgrade(inner);
+        let text = move || weak_inner.upgrade().map_or_else(String::new, |inner| dump(&inner));
         inner.node.add_dump(title, Box::new(text));
     };
-    part("admission", |inner| inner.door.dump());
-    part("writes", |inner| inner.writer.dump());
+    part("admission", |inner| inner.admission.dump());
+    part("writes", |inner| inner.write_executor.dump());
 }
 
-/// The requests that an entry answers to other entries.
+/// Handles the requests of other entries.
 #[derive(Clone)]
-struct Server(Arc<Writer>);
+struct Server(Arc<WriteExecutor>);
 
-impl Requests for Server {
+impl EntryRpc for Server {
     async fn execute(
         self,
         context: Context,
@@ -191,7 +196,7 @@
         let now = Instant::now();
         let left = context.deadline.saturating_duration_since(now);
         let deadline = Deadline::after(now, left).less(FORWARD_MARGIN);
-        let order = Order { workspace, service, record, body, deadline };
-        self.0.run_own(key, order).await
+        let write = WriteRequest { workspace, service, record, body, deadline };
+        self.0.run_local(key, write).await
     }
 }
--- a/crates/entry/src/write.rs
+++ b/crates/entry/src/write.rs
@@ -1,8 +1,8 @@
-//! Running a write: through the run that its key names, once.
+//! Write execution: each write is executed at most once, by the entry run that its key names.
 //!
-//! The execution is a task of its own, so that a caller who hangs up can't leave it
-//! half decided. Nothing is sent twice: only a home that refused the order, or could not
-//! be connected to, is followed by another (docs/design/0004-writes.md).
+//! The execution is a separate task, so that it finishes and records its outcome even if
+//! the caller disconnects. A write is never sent twice: the next home is tried only if a
+//! home refused the write or the connection to it failed (docs/design/0004-writes.md).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 use bergamot_write::{Decision, Key, Outcome, Owner, Prefix};
 use tokio::sync::watch;
 
-use crate::search::Runner;
+use crate::search::QueryExecutor;
 
-/// A write as a caller asked for it.
+/// A caller's write request.
 #[derive(Clone, Debug)]
-pub(crate) struct Order {
+pub(crate) struct WriteRequest {
     pub(crate) workspace: Name,
     pub(crate) service: Name,
     pub(crate) record: Name,
@@ -28,77 +28,78 @@
     pub(crate) deadline: Deadline,
 }
 
-impl Order {
+impl WriteRequest {
     fn digest(&self) -> u64 {
         let service = format!("{}/{}", self.workspace, self.service);
         Owner::digest(&service, &self.record, &self.body)
     }
 }
 
-/// The memory of writes and those who wait for an outcome.
+/// The write keys of this run, and the requests that wait for their outcomes.
 #[derive(Debug)]
-struct Book {
+struct WriteState {
     owner: Owner,
-    waiting: HashMap<Key, watch::Sender<Option<Outcome>>>,
+    waiters: HashMap<Key, watch::Sender<Option<Outcome>>>,
+    /// Number of keys generated for callers.
     serial: u64,
 }
 
-/// What an entry needs for running writes.
+/// Executes the writes of one entry.
 #[derive(Debug)]
-pub(crate) struct Writer {
+pub(crate) struct WriteExecutor {
     node: Arc<Node>,
-    runner: Arc<Runner>,
+    query_executor: Arc<QueryExecutor>,
     peers: Channels<EntryClient>,
-    book: Mutex<Book>,
+    state: Mutex<WriteState>,
 }
 
-impl Writer {
-    pub(crate) fn new(node: Arc<Node>, runner: Arc<Runner>) -> Arc<Self> {
+impl WriteExecutor {
+    pub(crate) fn new(node: Arc<Node>, query_executor: Arc<QueryExecutor>) -> Arc<Self> {
         let window = node.settings().entry.keys;
         let owner = Owner::new(node.incarnation(), Instant::now(), window);
-        let book = Book { owner, waiting: HashMap::new(), serial: 0 };
+        let state = WriteState { owner, waiters: HashMap::new(), serial: 0 };
         Arc::new(Self {
             peers: Channels::new(node.settings().instance.address),
             node,
-            runner,
-            book: Mutex::new(book),
+            query_executor,
+            state: Mutex::new(state),
         })
     }
 
-    /// Returns the prefix for keys that callers make now.
+    /// Returns the prefix for keys that callers generate now.
     pub(crate) fn prefix(&self) -> Prefix {
         self.lock().owner.prefix(Instant::now())
     }
 
-    /// Makes a key for a caller who brought none.
-    pub(crate) fn own_key(&self) -> Key {
-        let mut book = self.lock();
-        book.serial += 1;
-        let unique = Name::from(format!("entry-{}", book.serial));
-        Key { prefix: book.owner.prefix(Instant::now()), unique }
+    /// Generates a key for a request without one.
+    pub(crate) fn generate_key(&self) -> Key {
+        let mut state = self.lock();
+        state.serial += 1;
+        let unique = Name::from(format!("entry-{}", state.serial));
+        Key { prefix: state.owner.prefix(Instant::now()), unique }
     }
 
-    /// Writes the text form that dumps use.
+    /// Formats the state for diagnostic dumps.
     pub(crate) fn dump(&self) -> String {
         format!("{}\n", self.lock().owner)
     }
 
-    /// Runs a write here or through the run that its key names.
-    pub(crate) async fn run(self: &Arc<Self>, key: Key, order: Order) -> Outcome {
+    /// Executes a write here or forwards it to the run that its key names.
+    pub(crate) async fn run(self: &Arc<Self>, key: Key, write: WriteRequest) -> Outcome {
         let incarnation = key.prefix.incarnation;
         if incarnation == self.node.incarnation() {
-            return self.run_own(key, order).await;
+            return self.run_local(key, write).await;
         }
-        self.forward(incarnation, key, order).await
+        self.forward(incarnation, key, write).await
     }
 
-    /// Runs a write whose key names this run, and no other.
-    pub(crate) async fn run_own(self: &Arc<Self>, key: Key, order: Order) -> Outcome {
-        let deadline = order.deadline;
-        let mut outcome = match self.begin(&key, order.digest()) {
+    /// Executes a write whose key names this run. Other keys are not executed or forwarded.
+    pub(crate) async fn run_local(self: &Arc<Self>, key: Key, write: WriteRequest) -> Outcome {
+        let deadline = write.deadline;
+        let mut outcome = match self.begin(&key, write.digest()) {
             Ok(outcome) => return outcome,
             Err((true, receiver)) => {
-                tokio::spawn(Arc::clone(self).execute(key, order));
+                tokio::spawn(Arc::clone(self).execute(key, write));
                 receiver
             }
             Err((false, receiver)) => receiver,
@@ -110,47 +111,49 @@
         }
     }
 
-    /// Decides about a key: its outcome, or a wait for it, perhaps with its execution.
+    /// Returns the outcome of a key if it is decided, or else a receiver for the outcome and
+    /// whether the caller has to start the execution.
     fn begin(
         &self,
         key: &Key,
         digest: u64,
     ) -> Result<Outcome, (bool, watch::Receiver<Option<Outcome>>)> {
-        let mut book = self.lock();
-        match book.owner.begin(Instant::now(), key, digest) {
+        let mut state = self.lock();
+        match state.owner.begin(Instant::now(), key, digest) {
             Decision::Replay(outcome) => Ok(outcome),
             Decision::Conflict => Ok(Outcome::not_run("the key came before with another request")),
             Decision::Full => Ok(Outcome::not_run("this entry remembers too many keys")),
-            // An entry that has not heard of a restart yet sends us a key of the run before,
-            // which may have executed it.
+            // An entry that doesn't know yet that this one restarted forwards a key of the previous
+            // run, which may have executed it.
             Decision::Forward(_) => {
                 Ok(Outcome::unknown("the key names another run, which may have executed it"))
             }
             Decision::Execute => {
                 let sender = watch::Sender::new(None);
                 let receiver = sender.subscribe();
-                book.waiting.insert(key.clone(), sender);
+                state.waiters.insert(key.clone(), sender);
                 Err((true, receiver))
             }
             Decision::Join => {
                 let sender =
-                    book.waiting.entry(key.clone()).or_insert_with(|| watch::Sender::new(None));
+                    state.waiters.entry(key.clone()).or_insert_with(|| watch::Sender::new(None));
                 Err((false, sender.subscribe()))
             }
         }
     }
 
-    async fn execute(self: Arc<Self>, key: Key, order: Order) {
-        let outcome = self.send(&key, &order).await;
-        let mut book = self.lock();
-        book.owner.finish(&key, outcome.clone());
-        if let Some(sender) = book.waiting.remove(&key) {
+    async fn execute(self: Arc<Self>, key: Key, write: WriteRequest) {
+        let outcome = self.send(&key, &write).await;
+        let mut state = self.lock();
+        state.owner.finish(&key, outcome.clone());
+        if let Some(sender) = state.waiters.remove(&key) {
             sender.send_replace(Some(outcome));
         }
     }
 
-    /// Sends a write to a home of its shard. Only a refusal is followed by another home.
-    async fn send(&self, key: &Key, order: &Order) -> Outcome {
+    /// Sends a write to a home of its shard. Tries the next home only if the write was refused or
+    /// the connection failed.
+    async fn send(&self, key: &Key, write: &WriteRequest) -> Outcome {
         if !self.node.awake().await {
             return Outcome::not_run("this entry slept and has not caught up");
         }
@@ -158,32 +161,32 @@
             return Outcome::not_run("no document is in force");
         };
         let document = &current.document;
-        let Some(service) = document.service(&order.workspace, &order.service) else {
+        let Some(service) = document.service(&write.workspace, &write.service) else {
             return Outcome::not_run("the service is gone");
         };
-        let shard = document.services[service].holder(&order.record);
-        let wire = WriteOrder {
+        let shard = document.services[service].holder(&write.record);
+        let order = WriteOrder {
             revision: document.revision,
             shard,
             key: key.clone(),
-            record: Name::clone(&order.record),
-            body: Name::clone(&order.body),
+            record: Name::clone(&write.record),
+            body: Name::clone(&write.body),
         };
-        for home in self.runner.candidates(document.layout.cell(shard), service) {
-            let address = self.runner.address(home);
-            let Ok(client) = self.runner.channels().get(address).await else {
+        for home in self.query_executor.candidates(document.layout.cell(shard), service) {
+            let address = self.query_executor.address(home);
+            let Ok(client) = self.query_executor.channels().get(address).await else {
                 continue;
             };
-            if order.deadline.passed(Instant::now()) {
+            if write.deadline.passed(Instant::now()) {
                 return Outcome::not_run("the deadline passed before sending");
             }
-            match client.write(context(order.deadline), wire.clone()).await {
+            match client.write(context(write.deadline), order.clone()).await {
                 Ok(Ok(outcome)) => return outcome,
                 Ok(Err(refusal)) => {
                     log::debug!("write: {home} refused {key}: {refusal:?}.");
                 }
                 Err(error) => {
-                    self.runner.channels().forget(address).await;
+                    self.query_executor.channels().forget(address).await;
                     return Outcome::unknown(format!("the gather {home} was lost: {error}"));
                 }
             }
@@ -191,7 +194,7 @@
         Outcome::not_run("no home of the record's shard took the write")
     }
 
-    async fn forward(&self, incarnation: Incarnation, key: Key, order: Order) -> Outcome {
+    async fn forward(&self, incarnation: Incarnation, key: Key, write: WriteRequest) -> Outcome {
         let Some(record) = self.node.find_run(incarnation) else {
             return Owner::unavailable_outcome(true);
         };
@@ -203,7 +206,7 @@
         let Ok(client) = self.peers.get(address).await else {
             return Owner::unavailable_outcome(false);
         };
-        let Order { workspace, service, record, body, deadline } = order;
+        let WriteRequest { workspace, service, record, body, deadline } = write;
         match client.execute(context(deadline), workspace, service, key, record, body).await {
             Ok(outcome) => outcome,
             Err(error) => {
@@ -214,10 +217,10 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, WriteState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The part of a deadline that a forwarded write keeps for the way back.
+/// Part of the deadline of a forwarded write that is reserved for returning its outcome.
 pub(crate) const FORWARD_MARGIN: Duration = Duration::from_millis(1);
