--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -21,9 +21,9 @@
 #[derive(Debug)]
 pub struct Instance {
     /// The entry.
-    pub entry: bergamot_entry::Running,
+    pub entry: bergamot_entry::EntryHandle,
     /// The gather.
-    pub gather: bergamot_gather::Running,
+    pub gather: bergamot_gather::GatherHandle,
 }
 
 /// A deployment that runs.
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -10,7 +10,7 @@
 
 use bergamot_base::{Name, Seed};
 use bergamot_config::Settings;
-use bergamot_entry::{Answer as Body, ErrorBody, WriteAnswer};
+use bergamot_entry::{ErrorBody, QueryAnswer, WriteAnswer};
 use bergamot_net::Reply;
 use bergamot_query::Hit;
 use bergamot_standin::Corpus;
@@ -181,7 +181,7 @@
         }
         return;
     }
-    let Ok(body) = serde_json::from_slice::<Body>(reply.body()) else {
+    let Ok(body) = serde_json::from_slice::<QueryAnswer>(reply.body()) else {
         return;
     };
     request.ending = if body.complete { Ending::Complete } else { Ending::Partial };
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -17,7 +17,7 @@
     WriteBody, parse_deadline, parse_key, parse_shape, parse_write_body, read_request_body,
     request_id,
 };
-use crate::response::{Answer, RequestError, ServiceAnswer, WriteAnswer};
+use crate::response::{QueryAnswer, RequestError, ServiceAnswer, WriteAnswer};
 use crate::search::{Query, QueryResult};
 use crate::service::Inner;
 use crate::write::WriteRequest;
@@ -203,8 +203,8 @@
     }
 }
 
-fn combine_results(id: &Name, shape: &Shape, found: Vec<QueryResult>) -> Answer {
-    let mut answer = Answer {
+fn combine_results(id: &Name, shape: &Shape, found: Vec<QueryResult>) -> QueryAnswer {
+    let mut answer = QueryAnswer {
         request: Name::clone(id),
         revision: 0,
         complete: true,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -16,5 +16,5 @@
 mod service;
 mod write;
 
-pub use response::{Answer, ErrorBody, Fault, ServiceAnswer, WriteAnswer};
-pub use service::{Entry, Running};
+pub use response::{ErrorBody, ErrorDetails, QueryAnswer, ServiceAnswer, WriteAnswer};
+pub use service::{Entry, EntryHandle};
--- a/crates/entry/src/response.rs
+++ b/crates/entry/src/response.rs
@@ -19,7 +19,7 @@
 
 /// The answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct QueryAnswer {
     /// The request identifier.
     pub request: Name,
     /// The revision of the document under which the query was planned.
@@ -68,14 +68,14 @@
     /// The request identifier.
     pub request: Name,
     /// The error.
-    pub error: Fault,
+    pub error: ErrorDetails,
     /// Delay after which to retry, in milliseconds, if a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
 /// Describes an error: the step that failed, the peer and the cause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ErrorDetails {
     /// The step that failed.
     pub step: Name,
     /// The peer that the step involved.
@@ -88,14 +88,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestError {
     pub(crate) status: StatusCode,
-    pub(crate) fault: Fault,
+    pub(crate) fault: ErrorDetails,
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl RequestError {
     /// Creates an error that the caller can only avoid by changing the request.
     pub(crate) fn invalid_request(status: StatusCode, step: &str, cause: impl Into<Name>) -> Self {
-        let fault = Fault { step: step.into(), peer: "caller".into(), cause: cause.into() };
+        let fault = ErrorDetails { step: step.into(), peer: "caller".into(), cause: cause.into() };
         Self { status, fault, retry_after: None }
     }
 
@@ -106,7 +106,7 @@
         cause: impl Into<Name>,
         after: Duration,
     ) -> Self {
-        let fault = Fault { step: step.into(), peer: peer.into(), cause: cause.into() };
+        let fault = ErrorDetails { step: step.into(), peer: peer.into(), cause: cause.into() };
         Self { status: StatusCode::SERVICE_UNAVAILABLE, fault, retry_after: Some(after) }
     }
 
@@ -123,7 +123,7 @@
     }
 }
 
-impl Answer {
+impl QueryAnswer {
     pub(crate) fn response(&self) -> Response<Body> {
         let mut response = encode(StatusCode::OK, self);
         let join = |texts: Vec<String>| texts.join(",");
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -55,7 +55,7 @@
 
 /// A handle to a running entry.
 #[derive(Debug)]
-pub struct Running {
+pub struct EntryHandle {
     inner: Arc<Inner>,
     stop: CancellationToken,
     callers: JoinHandle<()>,
@@ -64,7 +64,7 @@
 
 impl Entry {
     /// Starts an entry and returns once it has a document and accepts requests.
-    pub async fn start(settings: Arc<Settings>) -> Result<Running, Fault> {
+    pub async fn start(settings: Arc<Settings>) -> Result<EntryHandle, Fault> {
         let node = Node::start(settings, Role::Entry).await?;
         let settings = Arc::clone(node.settings());
         let ip = settings.instance.address;
@@ -84,7 +84,7 @@
         add_dumps(&inner);
         let stop = CancellationToken::new();
         let address = callers.local_addr().ok();
-        let running = Running {
+        let running = EntryHandle {
             callers: serve_callers(&inner, callers, stop.clone()),
             peers: serve_peers(&inner, peers, stop.clone()),
             inner,
@@ -95,7 +95,7 @@
     }
 }
 
-impl Running {
+impl EntryHandle {
     /// Returns the node that this entry runs on.
     pub fn node(&self) -> &Arc<Node> {
         &self.inner.node
--- a/crates/gather/src/lib.rs
+++ b/crates/gather/src/lib.rs
@@ -14,4 +14,4 @@
 mod service_state;
 mod shard;
 
-pub use service::{Gather, Running};
+pub use service::{Gather, GatherHandle};
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -111,7 +111,7 @@
 
 /// A handle to a running gather.
 #[derive(Debug)]
-pub struct Running {
+pub struct GatherHandle {
     inner: Arc<Inner>,
     stop: CancellationToken,
     serve_task: tokio::task::JoinHandle<()>,
@@ -119,7 +119,7 @@
 
 impl Gather {
     /// Starts a gather and returns once it has a document and accepts requests.
-    pub async fn start(settings: Arc<Settings>) -> Result<Running, Fault> {
+    pub async fn start(settings: Arc<Settings>) -> Result<GatherHandle, Fault> {
         let node = Node::start(settings, Role::Gather).await?;
         let settings = Arc::clone(node.settings());
         let address = (settings.instance.address, settings.ports.gather_peers).into();
@@ -152,11 +152,11 @@
         });
         let serve_task = tasks.spawn("serve", serving);
         log::info!("gather: Serving at {address}.");
-        Ok(Running { inner, stop, serve_task })
+        Ok(GatherHandle { inner, stop, serve_task })
     }
 }
 
-impl Running {
+impl GatherHandle {
     /// Returns the node that this gather runs on.
     pub fn node(&self) -> &Arc<Node> {
         &self.inner.node
--- a/daemons/src/bin/bergamot-entry.rs
+++ b/daemons/src/bin/bergamot-entry.rs
@@ -2,11 +2,12 @@
 
 use std::process::ExitCode;
 
-use bergamot_entry::{Entry, Running};
+use bergamot_entry::{Entry, EntryHandle};
 use bergamotstand::Service;
 
 fn main() -> ExitCode {
     let about = "serves callers' queries and writes";
-    let service = Service { start: Entry::start, failed: Running::failed, stop: Running::stop };
+    let service =
+        Service { start: Entry::start, failed: EntryHandle::failed, stop: EntryHandle::stop };
     bergamotstand::run("bergamot-entry", about, &service)
 }
--- a/daemons/src/bin/bergamot-gather.rs
+++ b/daemons/src/bin/bergamot-gather.rs
@@ -2,11 +2,12 @@
 
 use std::process::ExitCode;
 
-use bergamot_gather::{Gather, Running};
+use bergamot_gather::{Gather, GatherHandle};
 use bergamotstand::Service;
 
 fn main() -> ExitCode {
     let about = "holds connections to searchers and runs sub-queries";
-    let service = Service { start: Gather::start, failed: Running::failed, stop: Running::stop };
+    let service =
+        Service { start: Gather::start, failed: GatherHandle::failed, stop: GatherHandle::stop };
     bergamotstand::run("bergamot-gather", about, &service)
 }
