--- a/daemons/src/bin/bergamot-entry.rs
+++ b/daemons/src/bin/bergamot-entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon: callers' HTTP.
+//! The entry daemon: serves callers over HTTP.
 
 use std::process::ExitCode;
 
@@ -8,5 +8,5 @@
 fn main() -> ExitCode {
     let about = "serves callers' queries and writes";
     let service = Service { start: Entry::start, failed: Running::failed, stop: Running::stop };
-    bergamotstand::run("bergamot-entry", about, &service)
+    bergamotstand::run_daemon("bergamot-entry", about, &service)
 }
--- a/daemons/src/bin/bergamot-gather.rs
+++ b/daemons/src/bin/bergamot-gather.rs
@@ -1,4 +1,4 @@
-//! The gather daemon: connections to searchers.
+//! The gather daemon: runs sub-queries on searchers.
 
 use std::process::ExitCode;
 
@@ -8,5 +8,5 @@
 fn main() -> ExitCode {
     let about = "holds connections to searchers and runs sub-queries";
     let service = Service { start: Gather::start, failed: Running::failed, stop: Running::stop };
-    bergamotstand::run("bergamot-gather", about, &service)
+    bergamotstand::run_daemon("bergamot-gather", about, &service)
 }
--- a/daemons/src/launch.rs
+++ b/daemons/src/launch.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon and stopping it.
+//! Starts and stops a daemon.
 
 use std::fmt;
 use std::path::Path;
@@ -11,74 +11,74 @@
 use gumdrop::Options;
 use snafu::Snafu;
 
-/// What is logged unless `RUST_LOG` says otherwise; tarpc logs every request at `info`.
+/// The default log filter, which `RUST_LOG` overrides; tarpc logs every request at `info`.
 const LOG_FILTER: &str = "info,tarpc=warn";
 
-/// The exit code for wrong options, settings or documents.
-const EXIT_USAGE: u8 = 2;
+/// The exit code for invalid options, settings or documents.
+const EXIT_INVALID_INPUT: u8 = 2;
 
-/// Why a program ends without success.
+/// Why a program exits with an error.
 #[derive(Debug, Snafu)]
 pub enum Failure {
-    /// A file can't be read.
+    /// A file cannot be read.
     #[snafu(display("{step} {peer}: {source}"))]
     Unreadable {
-        /// What was being done.
+        /// The operation that failed.
         step: Step,
         /// The file.
         peer: Peer,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// Settings or a document were refused.
+    /// Settings or a document are invalid.
     #[snafu(display("{source}"))]
     Refused {
-        /// Every fault.
+        /// All faults that were found.
         source: Refusal,
     },
     /// A service or an exchange failed.
     #[snafu(display("{cause}"))]
     Failed {
-        /// What went wrong, with its step and peer.
+        /// The cause, with its step and peer.
         cause: String,
     },
-    /// The options are wrong.
+    /// The command-line options are invalid.
     #[snafu(display("{cause}"))]
     Usage {
-        /// What is wrong with them.
+        /// What is invalid.
         cause: String,
     },
 }
 
 impl Failure {
-    /// Wraps the error of a service.
+    /// Converts an error of a service or an exchange.
     pub fn failed(cause: impl fmt::Display) -> Self {
         Self::Failed { cause: cause.to_string() }
     }
 
-    /// Prints the failure and returns the exit code for it.
+    /// Prints the failure to standard error and returns its exit code.
     pub fn report(&self, program: &str) -> ExitCode {
         eprintln!("{program}: {self}");
         match self {
             Self::Failed { .. } => ExitCode::FAILURE,
             Self::Unreadable { .. } | Self::Refused { .. } | Self::Usage { .. } => {
-                ExitCode::from(EXIT_USAGE)
+                ExitCode::from(EXIT_INVALID_INPUT)
             }
         }
     }
 }
 
-/// Reads a file as text.
-fn read(step: &'static str, path: &Path) -> Result<String, Failure> {
+/// Reads a text file.
+fn read_file(step: &'static str, path: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(path).map_err(|source| {
         let peer = Peer::File(Name::from(path.to_string_lossy()));
         Failure::Unreadable { step: Step(step), peer, source }
     })
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn load_settings(path: &Path) -> Result<Settings, Failure> {
-    let text = read("read settings", path)?;
+    let text = read_file("read settings", path)?;
     Settings::parse(&text)
         .map_err(|refusal| Failure::Refused { source: refusal.at(&path.to_string_lossy()) })
 }
@@ -90,50 +90,50 @@
     format!("{program}: {about}\n\nUsage: {program} [OPTIONS]\n\n{}{commands}", T::usage())
 }
 
-/// The options of a daemon.
+/// The command-line options of a daemon.
 #[expect(clippy::struct_excessive_bools, reason = "each is a flag of the command line")]
 #[derive(Debug, Options)]
-struct Daemon {
-    #[options(help = "show this text")]
+struct DaemonOptions {
+    #[options(help = "print this help")]
     help: bool,
-    #[options(help = "show the version", short = "V")]
+    #[options(help = "print the version", short = "V")]
     version: bool,
     #[options(help = "the settings file (INI)", meta = "FILE")]
     settings: Option<std::path::PathBuf>,
-    #[options(help = "check the settings and exit")]
+    #[options(help = "validate the settings and exit")]
     check: bool,
     #[options(help = "list every setting and exit")]
     list: bool,
 }
 
-/// How a service is started, watched and stopped.
+/// The functions that start, watch and stop a service.
 #[derive(Clone, Copy, Debug)]
 pub struct Service<S, F, T> {
-    /// Starts it.
+    /// Starts the service.
     pub start: S,
-    /// Waits until it has failed, which it may never do.
+    /// Waits until the service has failed; may never return.
     pub failed: F,
-    /// Stops it gracefully.
+    /// Stops the service gracefully.
     pub stop: T,
 }
 
-/// Runs a daemon: starts a service, waits for a stop signal or its failure, and stops it
+/// Runs a daemon: starts the service, waits for a stop signal or a failure, and stops the service
 /// gracefully.
-pub fn run<R, S, F, T>(program: &str, about: &str, service: &Service<S, F, T>) -> ExitCode
+pub fn run_daemon<R, S, F, T>(program: &str, about: &str, service: &Service<S, F, T>) -> ExitCode
 where
     S: AsyncFn(Arc<Settings>) -> Result<R, bergamot_net::Fault>,
     F: AsyncFn(&R),
     T: AsyncFn(R),
 {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let options = match Daemon::parse_args_default(&args) {
+    let options = match DaemonOptions::parse_args_default(&args) {
         Ok(options) => options,
         Err(error) => {
             return Failure::Usage { cause: error.to_string() }.report(program);
         }
     };
     if options.help {
-        println!("{}", usage::<Daemon>(program, about));
+        println!("{}", usage::<DaemonOptions>(program, about));
         return ExitCode::SUCCESS;
     }
     if options.version {
@@ -145,7 +145,8 @@
         return ExitCode::SUCCESS;
     }
     let Some(path) = options.settings else {
-        return Failure::Usage { cause: "--settings FILE is needed".to_owned() }.report(program);
+        return Failure::Usage { cause: "missing required option --settings FILE".to_owned() }
+            .report(program);
     };
     let settings = match load_settings(&path) {
         Ok(settings) => settings,
@@ -172,24 +173,24 @@
     F: AsyncFn(&R),
     T: AsyncFn(R),
 {
-    // Signals that arrive while the daemon starts must stop it too.
-    let asked = tokio::spawn(stop_signal(false));
-    tokio::pin!(asked);
+    // Signals that arrive during startup must also stop the daemon.
+    let stop_request = tokio::spawn(stop_signal(false));
+    tokio::pin!(stop_request);
     let running = tokio::select! {
         running = (service.start)(Arc::new(settings)) => running.map_err(Failure::failed)?,
-        _ = &mut asked => return Ok(ExitCode::SUCCESS),
+        _ = &mut stop_request => return Ok(ExitCode::SUCCESS),
     };
     let code = tokio::select! {
-        asked = &mut asked => {
-            asked.map_err(Failure::failed)?.map_err(Failure::failed)?;
+        signal = &mut stop_request => {
+            signal.map_err(Failure::failed)?.map_err(Failure::failed)?;
             ExitCode::SUCCESS
         }
         () = (service.failed)(&running) => ExitCode::FAILURE,
     };
     tokio::select! {
         () = (service.stop)(running) => Ok(code),
-        asked = stop_signal(true) => match asked {
-            Ok(Stop::Now) => Err(Failure::failed("stopped at once, as the operator asked")),
+        signal = stop_signal(true) => match signal {
+            Ok(Stop::Now) => Err(Failure::failed("stopped by SIGINT during the graceful stop")),
             Ok(Stop::Graceful) => Ok(code),
             Err(error) => Err(Failure::failed(error)),
         },
--- a/daemons/tests/command_line.rs
+++ b/daemons/tests/command_line.rs
@@ -1,29 +1,30 @@
-//! Options, settings and documents that are wrong are refused with what is allowed.
+//! Invalid options, settings and documents are rejected with an error that says what is allowed.
 
 mod support;
 
-use support::{CTL, ENTRY, GATHER, printed, run};
+use support::{CTL, ENTRY, GATHER, run_program, text_and_code};
 
-/// Writes a file for one test.
-fn file(name: &str, text: &str) -> String {
+/// Writes a temporary file with a name that is unique to the test process.
+fn temporary_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("bergamot-{}-{name}", std::process::id()));
-    std::fs::write(&path, text).expect("the temporary folder can be written");
+    std::fs::write(&path, text).expect("the temporary directory is writable");
     path.to_string_lossy().into_owned()
 }
 
 #[test]
 fn every_program_has_help_and_version() {
     for program in [CTL, ENTRY, GATHER] {
-        let (help, code) = printed(&run(program, &["--help"]));
+        let (help, code) = text_and_code(&run_program(program, &["--help"]));
         assert!(help.contains("--version"), "{help}");
         assert_eq!(code, Some(0));
-        let (version, code) = printed(&run(program, &["--version"]));
+        let (version, code) = text_and_code(&run_program(program, &["--version"]));
         assert!(version.trim_end().ends_with(env!("CARGO_PKG_VERSION")), "{version}");
         assert_eq!(code, Some(0));
     }
 }
 
-/// `bergamotctl policy | head -1`: whoever reads has read enough, and that is no failure.
+/// Guards against an error from `bergamotctl policy | head -1`, where the reader closes the pipe
+/// before all output has been written.
 #[test]
 fn a_reader_that_leaves_early_is_no_failure() {
     let mut child = std::process::Command::new(CTL)
@@ -41,7 +42,7 @@
 #[test]
 fn unknown_options_are_refused() {
     for program in [CTL, ENTRY, GATHER] {
-        let (text, code) = printed(&run(program, &["--bogus"]));
+        let (text, code) = text_and_code(&run_program(program, &["--bogus"]));
         assert!(text.contains("--bogus"), "{text}");
         assert_eq!(code, Some(2));
     }
@@ -49,54 +50,55 @@
 
 #[test]
 fn a_wrong_key_in_settings_is_named_with_what_is_allowed() {
-    let path = file("wrong-key.ini", "[instance]\nadress = 127.0.0.1\n");
+    let path = temporary_file("wrong-key.ini", "[instance]\nadress = 127.0.0.1\n");
     for args in [["--settings", path.as_str(), "--check"], ["check", "--settings", path.as_str()]] {
         let program = if args[0] == "check" { CTL } else { ENTRY };
-        let (text, code) = printed(&run(program, &args));
+        let (text, code) = text_and_code(&run_program(program, &args));
         assert!(text.contains("wrong-key.ini"), "{text}");
         assert!(text.contains("[instance] adress: found 127.0.0.1"), "{text}");
         assert!(text.contains("one of the keys address, zone"), "{text}");
         assert_eq!(code, Some(2));
     }
-    std::fs::remove_file(path).expect("the file is this test's own");
+    std::fs::remove_file(path).expect("the file belongs to this test");
 }
 
 #[test]
 fn a_truncated_document_is_refused_whole() {
-    let path = file("truncated.json", r#"{"revision": 7, "instances": 8, "places": ["#);
-    let (text, code) = printed(&run(CTL, &["check", "--document", &path]));
+    let path = temporary_file("truncated.json", r#"{"revision": 7, "instances": 8, "places": ["#);
+    let (text, code) = text_and_code(&run_program(CTL, &["check", "--document", &path]));
     assert!(text.contains("truncated.json"), "{text}");
     assert!(text.contains("EOF"), "{text}");
     assert_eq!(code, Some(2));
-    std::fs::remove_file(path).expect("the file is this test's own");
+    std::fs::remove_file(path).expect("the file belongs to this test");
 }
 
 #[test]
 fn a_missing_file_is_named() {
-    let (text, code) = printed(&run(CTL, &["check", "--document", "no-such-file.json"]));
+    let (text, code) =
+        text_and_code(&run_program(CTL, &["check", "--document", "no-such-file.json"]));
     assert!(text.contains("read document no-such-file.json"), "{text}");
     assert_eq!(code, Some(2));
 }
 
 #[test]
 fn a_daemon_that_does_not_answer_is_named() {
-    let (text, code) = printed(&run(CTL, &["dump", "127.0.0.1:1"]));
+    let (text, code) = text_and_code(&run_program(CTL, &["dump", "127.0.0.1:1"]));
     assert!(text.contains("dial 127.0.0.1:1"), "{text}");
     assert_eq!(code, Some(1));
 }
 
 #[test]
 fn the_policy_is_printed_whole_or_by_name_and_an_unknown_name_is_refused() {
-    let (text, code) = printed(&run(CTL, &["policy"]));
+    let (text, code) = text_and_code(&run_program(CTL, &["policy"]));
     for name in bergamot_policy::NAMES {
         assert!(text.contains(&format!("{name} (on)")), "{text}");
     }
     assert_eq!(code, Some(0));
-    let (text, code) = printed(&run(CTL, &["policy", "hedge"]));
+    let (text, code) = text_and_code(&run_program(CTL, &["policy", "hedge"]));
     assert!(text.starts_with("hedge (on)") && text.contains("earliest = 0.33"), "{text}");
     assert!(!text.contains("retry (on)"), "{text}");
     assert_eq!(code, Some(0));
-    let (text, code) = printed(&run(CTL, &["policy", "hegde"]));
+    let (text, code) = text_and_code(&run_program(CTL, &["policy", "hegde"]));
     assert!(text.contains("switch off hegde: no such mechanism; there are hedge"), "{text}");
     assert_eq!(code, Some(2));
 }
--- a/daemons/tests/losses.rs
+++ b/daemons/tests/losses.rs
@@ -1,4 +1,4 @@
-//! The command that says from logs where the worth of a day was lost.
+//! `bergamotctl losses`: score losses by route, reason and time, from logs.
 
 mod support;
 
@@ -18,7 +18,7 @@
    3.0 a-2 ts=2026-12-03T00:00:02.300Z level=info relay: event=ended request="r6" route=y version=3 outcome=passed status=500 took_ms=10 target_ms=600 ordinary_left_out=0
 "#;
 
-fn run(arguments: &[&str], log: &str) -> Output {
+fn run_with_log(arguments: &[&str], log: &str) -> Output {
     let mut child = Command::new(CTL)
         .args(arguments)
         .stdin(Stdio::piped())
@@ -26,15 +26,15 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program was built with the test");
-    let mut input = child.stdin.take().expect("it is piped");
-    input.write_all(log.as_bytes()).expect("it is read");
+    let mut input = child.stdin.take().expect("standard input is piped");
+    input.write_all(log.as_bytes()).expect("the program reads its input");
     drop(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the program exits")
 }
 
 #[test]
 fn losses_are_told_by_route_reason_and_moment() {
-    let losses = Losses::read(LOG);
+    let losses = Losses::parse(LOG);
     let reasons: Vec<(&str, &str, f64)> = losses
         .reasons
         .iter()
@@ -48,32 +48,33 @@
         ("y", "failed by the searcher", 1.0),
     ];
     assert_eq!(reasons, expected);
-    let moments: Vec<_> = losses.moments.iter().map(|(at, count)| (*at, count.requests)).collect();
-    assert_eq!(moments, [(0, 2.0), (2, 7.0)]);
+    let intervals: Vec<_> =
+        losses.intervals.iter().map(|(at, count)| (*at, count.requests)).collect();
+    assert_eq!(intervals, [(0, 2.0), (2, 7.0)]);
     let left_out: Vec<_> =
-        losses.left_out.iter().map(|(tried, count)| (&**tried, *count)).collect();
+        losses.left_out_shards.iter().map(|(attempts, count)| (&**attempts, *count)).collect();
     let expected =
         [("1 searchers, 1 through a silent member, another was denied", 1), ("2 searchers", 1)];
     assert_eq!(left_out, expected);
-    // What was not logged is divided by the ordinary ends that were: one of each route.
+    // The three suppressed requests are divided evenly: one lossless request is logged per route.
     assert_eq!((losses.routes["x"].requests, losses.routes["y"].requests), (5.5, 3.5));
 }
 
 #[test]
 fn the_command_prints_the_table_and_draws_it() {
     let path = std::env::temp_dir().join(format!("bergamot-{}-losses.svg", std::process::id()));
-    let output = run(&["losses", "--plot", &path.to_string_lossy()], LOG);
+    let output = run_with_log(&["losses", "--plot", &path.to_string_lossy()], LOG);
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success() && text.starts_with("requests=9 lost=35.4"), "{text}");
-    let drawn = std::fs::read_to_string(&path).expect("the picture was drawn");
+    let drawn = std::fs::read_to_string(&path).expect("the image was written");
     assert!(drawn.contains("<svg"), "{drawn}");
-    std::fs::remove_file(path).expect("the file is this test's own");
+    std::fs::remove_file(path).expect("the file belongs to this test");
 }
 
 #[test]
 fn a_log_without_requests_is_refused() {
-    let output = run(&["losses"], "nothing\n");
+    let output = run_with_log(&["losses"], "nothing\n");
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8_lossy(&output.stderr);
-    assert!(text.contains("no line says how a request ended"), "{text}");
+    assert!(text.contains("no log line reports the end of a request"), "{text}");
 }
--- a/daemons/tests/path.rs
+++ b/daemons/tests/path.rs
@@ -1,20 +1,20 @@
-//! The whole path as separate processes: answers, errors, state and a graceful stop.
+//! End-to-end tests with separate processes: answers, errors, state and graceful stop.
 
 mod support;
 
 use bergamot_base::Seed;
 use bergamot_bench::deployment::Deployment;
-use support::{Bed, CTL, get, post, printed, run, until};
+use support::{CTL, Testbed, get, post, run_program, text_and_code, until};
 
 const SCAN: &str = r#"{"shape": "scan"}"#;
 const QUEUE: &str = "/v1/fraser-basin/queue-board/query";
 
-/// A path, headers and a body, with the status and the step that must come back.
-type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str, u16, &'a str);
+/// A path, headers and a body, with the expected status and step of the error.
+type InvalidRequest<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str, u16, &'a str);
 
 /// Waits until a query on every shard of the queue board is complete.
-async fn warm(bed: &Bed) {
-    let entry = bed.entry(0);
+async fn wait_until_complete(testbed: &Testbed) {
+    let entry = testbed.entry(0);
     until("a scan is complete", || async move {
         post(entry, QUEUE, &[], SCAN).await.1["complete"] == true
     })
@@ -23,15 +23,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_served_from_one_end_to_the_other() {
-    let mut bed = Bed::start(Deployment::fraser_basin([50, 1], Seed(1)), 2, "").await;
-    bed.add(0).await;
-    bed.add(1).await;
-    warm(&bed).await;
-    let entry = bed.entry(1);
+    let mut testbed = Testbed::start(Deployment::fraser_basin([50, 1], Seed(1)), 2, "").await;
+    testbed.add(0).await;
+    testbed.add(1).await;
+    wait_until_complete(&testbed).await;
+    let entry = testbed.entry(1);
 
     let (status, scan) = post(entry, QUEUE, &[], SCAN).await;
     assert_eq!(status, 200);
-    assert_eq!(scan["hits"].as_array().map(Vec::len), Some(400), "every document of the service");
+    assert_eq!(
+        scan["hits"].as_array().map(Vec::len),
+        Some(400),
+        "every document of the service is returned"
+    );
     assert_eq!(scan["services"][0]["coverage"]["answered"], 20);
     assert_eq!(scan["services"][0]["version"], 1);
     assert_eq!(scan["revision"], 1);
@@ -49,7 +53,11 @@
 
     let path = "/v1/fraser-basin/queue-board,ramp-desk/query";
     let (_, both) = post(entry, path, &[], SCAN).await;
-    assert_eq!(both["services"].as_array().map(Vec::len), Some(2), "coverage service by service");
+    assert_eq!(
+        both["services"].as_array().map(Vec::len),
+        Some(2),
+        "coverage is reported per service"
+    );
     assert_eq!(both["complete"], true);
 
     let path = "/v1/fraser-basin/glycol-ledger/write";
@@ -60,37 +68,40 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_takes_effect_once_at_whichever_entry_it_arrives() {
-    let mut bed = Bed::start(Deployment::fraser_basin([50, 2], Seed(1)), 2, "").await;
-    bed.add(0).await;
-    bed.add(1).await;
-    warm(&bed).await;
+    let mut testbed = Testbed::start(Deployment::fraser_basin([50, 2], Seed(1)), 2, "").await;
+    testbed.add(0).await;
+    testbed.add(1).await;
+    wait_until_complete(&testbed).await;
     let addresses: serde_json::Value =
-        serde_json::from_str(&get(bed.entry(0), "/v1/addresses").await).expect("valid JSON");
+        serde_json::from_str(&get(testbed.entry(0), "/v1/addresses").await).expect("valid JSON");
     let key = format!("{}-order-1", addresses["write_prefix"].as_str().expect("a prefix"));
     let path = "/v1/fraser-basin/glycol-ledger/write";
     let headers = [("idempotency-key", key.as_str())];
     let write = r#"{"record": "doc-1", "body": "20 l type IV"}"#;
     let mut receipts = Vec::new();
-    for entry in [bed.entry(1), bed.entry(0), bed.entry(1)] {
+    for entry in [testbed.entry(1), testbed.entry(0), testbed.entry(1)] {
         let (_, answer) = post(entry, path, &headers, write).await;
         assert_eq!(answer["outcome"], "done", "{answer}");
         receipts.push(answer["receipt"].clone());
     }
     receipts.dedup();
-    assert_eq!(receipts.len(), 1, "one effect, one receipt");
+    assert_eq!(receipts.len(), 1, "the answers have different receipts");
     let other = r#"{"record": "doc-2", "body": "another"}"#;
-    let (_, conflict) = post(bed.entry(0), path, &headers, other).await;
-    assert_eq!(conflict["outcome"], "not_run", "a key is for one request: {conflict}");
+    let (_, conflict) = post(testbed.entry(0), path, &headers, other).await;
+    assert_eq!(
+        conflict["outcome"], "not_run",
+        "a key cannot be reused for another request: {conflict}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_callers_get_wrong_is_told_with_step_and_peer() {
-    let mut bed = Bed::start(Deployment::fraser_basin([50, 3], Seed(1)), 1, "").await;
-    bed.add(0).await;
-    warm(&bed).await;
-    let entry = bed.entry(0);
+    let mut testbed = Testbed::start(Deployment::fraser_basin([50, 3], Seed(1)), 1, "").await;
+    testbed.add(0).await;
+    wait_until_complete(&testbed).await;
+    let entry = testbed.entry(0);
     let big = format!(r#"{{"shape": "scan", "pad": "{}"}}"#, "x".repeat(70_000));
-    let cases: [Case<'_>; 9] = [
+    let cases: [InvalidRequest<'_>; 9] = [
         ("/v1/fraser-basin/nothing/query", &[], SCAN, 404, "find service"),
         ("/v1/nobody/queue-board/query", &[], SCAN, 404, "find service"),
         ("/v2/anything", &[], SCAN, 404, "route"),
@@ -114,25 +125,29 @@
         assert_eq!(answer["error"]["peer"], "caller", "{path} {answer}");
     }
     let (_, after) = post(entry, QUEUE, &[], SCAN).await;
-    assert_eq!(after["complete"], true, "bad input loses nothing");
+    assert_eq!(
+        after["complete"], true,
+        "queries are still answered completely after invalid requests"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn state_and_metrics_stand_on_their_own_listener() {
-    let mut bed = Bed::start(Deployment::fraser_basin([50, 4], Seed(1)), 1, "").await;
-    bed.add(0).await;
-    warm(&bed).await;
-    let admin = bed.entry_admin(0).to_string();
-    let (state, code) = printed(&run(CTL, &["dump", &admin]));
+    let mut testbed = Testbed::start(Deployment::fraser_basin([50, 4], Seed(1)), 1, "").await;
+    testbed.add(0).await;
+    wait_until_complete(&testbed).await;
+    let admin = testbed.entry_admin(0).to_string();
+    let (state, code) = text_and_code(&run_program(CTL, &["dump", &admin]));
     assert_eq!(code, Some(0));
-    for part in ["[node]", "document r1", "[members]", "[homes]", "[admission]", "[writes]"] {
-        assert!(state.contains(part), "{part} in {state}");
+    for section in ["[node]", "document r1", "[members]", "[homes]", "[admission]", "[writes]"] {
+        assert!(state.contains(section), "{section} is missing in {state}");
     }
-    let gather = get(bed.gather_admin(0), "/state").await;
+    let gather = get(testbed.gather_admin(0), "/state").await;
     assert!(gather.contains("[upstream]") && gather.contains("connections"), "{gather}");
-    let metrics = get(bed.entry_admin(0), "/metrics").await;
+    let metrics = get(testbed.entry_admin(0), "/metrics").await;
     assert!(metrics.contains("bergamot_requests_total"), "{metrics}");
-    let (addresses, code) = printed(&run(CTL, &["addresses", &bed.entry(0).to_string()]));
+    let (addresses, code) =
+        text_and_code(&run_program(CTL, &["addresses", &testbed.entry(0).to_string()]));
     assert_eq!(code, Some(0));
     assert!(addresses.contains("write_prefix"), "{addresses}");
 }
@@ -140,12 +155,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_signal_ends_both_daemons_with_success() {
     let extra = "[entry]\naddress_ttl = 200\n";
-    let mut bed = Bed::start(Deployment::fraser_basin([50, 5], Seed(1)), 1, extra).await;
-    bed.add(0).await;
-    warm(&bed).await;
-    let mut instance = bed.instances.remove(0);
+    let mut testbed = Testbed::start(Deployment::fraser_basin([50, 5], Seed(1)), 1, extra).await;
+    testbed.add(0).await;
+    wait_until_complete(&testbed).await;
+    let mut instance = testbed.instances.remove(0);
     instance.entry.signal("TERM");
-    // A second one asks for nothing more: what is in flight is still finished.
+    // A second SIGTERM changes nothing: requests in flight are still completed.
     instance.entry.signal("TERM");
     assert_eq!(instance.entry.wait(), Some(0));
     instance.gather.signal("TERM");
@@ -155,13 +170,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_instance_stands_in_for_listed_ones_that_never_came() {
     let extra = "[control]\nprobe = 100\nanswer = 40\nsuspicion = 200\n";
-    let mut bed = Bed::start(Deployment::fraser_basin([50, 6], Seed(1)), 8, extra).await;
-    bed.add(5).await;
-    let entry = bed.entry(5);
+    let mut testbed = Testbed::start(Deployment::fraser_basin([50, 6], Seed(1)), 8, extra).await;
+    testbed.add(5).await;
+    let entry = testbed.entry(5);
     until("a scan is complete", || async move {
         post(entry, QUEUE, &[], SCAN).await.1["complete"] == true
     })
     .await;
-    let (_, over) = bed.stand_ins.connections();
-    assert_eq!(over, 0, "no connection above a limit");
+    let (_, over) = testbed.stand_ins.connections();
+    assert_eq!(over, 0, "connection limits were exceeded");
 }
--- a/daemons/tests/story.rs
+++ b/daemons/tests/story.rs
@@ -1,9 +1,9 @@
-//! The command that tells the story of one request from logs.
+//! `bergamotctl explain`: the log lines that explain one request.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use bergamotstand::story;
+use bergamotstand::explain_request;
 
 const LOG: &str = r#"ts=2026-12-02T10:00:00.900Z level=info relay: event=searchers_changed revision=7 kind=draining count=1 names=i-9 more=0 since_ms=0
 ts=2026-12-02T10:00:01.100Z level=info relay: event=attempts_failed request="r1" count=1 how="Unknown=1" first="s i-1 Unknown: reset" searchers=i-1
@@ -18,13 +18,13 @@
 
 #[test]
 fn a_story_holds_a_requests_lines_and_what_changed_for_those_it_names() {
-    let story = story(LOG, "r1");
+    let lines = explain_request(LOG, "r1");
     let events: Vec<&str> =
-        story.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
+        lines.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
     let expected =
         ["searchers_changed", "attempts_failed", "searchers_changed", "shards_left_out", "ended"];
     assert_eq!(events, expected);
-    assert!(story.iter().all(|line| !line.contains("r2") && !line.contains("i-9")));
+    assert!(lines.iter().all(|line| !line.contains("r2") && !line.contains("i-9")));
 }
 
 #[test]
@@ -37,10 +37,10 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program was built with the test");
-        let mut input = child.stdin.take().expect("it is piped");
-        input.write_all(LOG.as_bytes()).expect("it is read");
+        let mut input = child.stdin.take().expect("standard input is piped");
+        input.write_all(LOG.as_bytes()).expect("the program reads its input");
         drop(input);
-        child.wait_with_output().expect("it ends")
+        child.wait_with_output().expect("the program exits")
     };
     let known = run("r1");
     assert!(known.status.success());
--- a/daemons/tests/support/mod.rs
+++ b/daemons/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Daemons as real processes against stand-ins in the test's own process.
+//! Runs the daemons as separate processes against stand-ins in the test process.
 
-#![allow(dead_code, reason = "each test file uses a part of the support")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -17,18 +17,18 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// The callers' port of entries, unless a test changes it.
+/// The default callers' port of an entry.
 pub const ENTRY_PORT: u16 = 7400;
 
 pub const ENTRY: &str = env!("CARGO_BIN_EXE_bergamot-entry");
 pub const GATHER: &str = env!("CARGO_BIN_EXE_bergamot-gather");
 pub const CTL: &str = env!("CARGO_BIN_EXE_bergamotctl");
 
-/// A daemon that ends with the test.
-pub struct Daemon(Child);
+/// A daemon process, which is killed when dropped.
+pub struct DaemonProcess(Child);
 
-impl Daemon {
-    /// Starts a program with a settings file.
+impl DaemonProcess {
+    /// Starts a daemon with a settings file.
     pub fn start(program: &str, settings: &Path) -> Self {
         let child = Command::new(program)
             .arg("--settings")
@@ -40,20 +40,21 @@
         Self(child)
     }
 
-    /// Sends a signal by name, to this process only.
+    /// Sends a signal, given by name without `SIG`, to this process only.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([format!("-{name}"), self.0.id().to_string()])
             .status()
-            .expect("kill is on every machine");
-        assert!(status.success(), "signal {name} was sent");
+            .expect("the kill command is available");
+        assert!(status.success(), "kill -{name} failed");
     }
 
-    /// Waits for the exit code.
+    /// Waits for the process to exit and returns its exit code, or `None` on timeout or if a
+    /// signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
-            if let Some(status) = self.0.try_wait().expect("the child is ours") {
+        let deadline = Instant::now() + PATIENCE;
+        while Instant::now() < deadline {
+            if let Some(status) = self.0.try_wait().expect("the process is a child of this one") {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -62,64 +63,68 @@
     }
 }
 
-impl Drop for Daemon {
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // It may have ended already, which is as good.
+        // Errors are ignored, since the process may have exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The daemons of one instance as processes.
+/// The daemon processes of one instance.
 pub struct Instance {
-    pub entry: Daemon,
-    pub gather: Daemon,
+    pub entry: DaemonProcess,
+    pub gather: DaemonProcess,
 }
 
-/// Stand-ins in this process and daemons as processes of their own.
-pub struct Bed {
+/// Stand-ins in this process and the daemon processes that use them.
+pub struct Testbed {
     pub stand_ins: Cluster,
     pub instances: Vec<Instance>,
-    folder: PathBuf,
-    extra: String,
+    directory: PathBuf,
+    common_settings: String,
 }
 
-impl Bed {
-    /// Starts the stand-ins of a deployment; `extra` is added to every settings file.
-    ///
-    /// The platform lists the first `listed` instances.
-    pub async fn start(deployment: Deployment, listed: usize, extra: &str) -> Self {
+impl Testbed {
+    /// Starts the stand-ins of a deployment. `common_settings` is appended to every settings file,
+    /// and the platform lists the first `listed` instances.
+    pub async fn start(deployment: Deployment, listed: usize, common_settings: &str) -> Self {
         let name = format!("bergamot-{}-{:?}", std::process::id(), deployment.block);
-        let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
+        let directory = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&directory).expect("the temporary directory is writable");
         let stand_ins = Cluster::start_stand_ins(deployment, Settings::default(), &[1])
             .await
-            .expect("the block of addresses is this test's own");
+            .expect("no other test uses the block of addresses");
         stand_ins.platform.list(stand_ins.deployment.list(0..listed));
-        Self { stand_ins, instances: Vec::new(), folder, extra: extra.to_owned() }
+        Self {
+            stand_ins,
+            instances: Vec::new(),
+            directory,
+            common_settings: common_settings.to_owned(),
+        }
     }
 
-    /// Starts the daemons of an instance and waits until its entry serves.
+    /// Starts the daemons of an instance and waits until its entry answers.
     pub async fn add(&mut self, number: usize) {
         let platform = self.stand_ins.deployment.platform();
-        self.add_with(number, platform, "", ENTRY_PORT).await;
+        self.add_with_settings(number, platform, "", ENTRY_PORT).await;
     }
 
-    /// Starts the daemons of an instance that reads another platform, with more settings
-    /// and another callers' port.
-    pub async fn add_with(
+    /// Like [`Self::add`], with another platform, additional settings and the callers' port that
+    /// they set.
+    pub async fn add_with_settings(
         &mut self,
         number: usize,
         platform: [SocketAddr; 2],
-        more: &str,
+        extra_settings: &str,
         port: u16,
     ) {
-        let settings = self.settings_with(number, platform, more);
-        let gather = Daemon::start(GATHER, &settings);
-        let entry = Daemon::start(ENTRY, &settings);
+        let settings = self.settings_with(number, platform, extra_settings);
+        let gather = DaemonProcess::start(GATHER, &settings);
+        let entry = DaemonProcess::start(ENTRY, &settings);
         self.instances.push(Instance { entry, gather });
         let address = SocketAddr::from((self.entry(number).ip(), port));
-        serves(address).await;
+        wait_until_serving(address).await;
     }
 
     /// Writes the settings file of an instance.
@@ -127,11 +132,16 @@
         self.settings_with(number, self.stand_ins.deployment.platform(), "")
     }
 
-    fn settings_with(&self, number: usize, platform: [SocketAddr; 2], more: &str) -> PathBuf {
-        let path = self.folder.join(format!("instance-{number}.ini"));
+    fn settings_with(
+        &self,
+        number: usize,
+        platform: [SocketAddr; 2],
+        extra_settings: &str,
+    ) -> PathBuf {
+        let path = self.directory.join(format!("instance-{number}.ini"));
         let text = stand_ins::settings_text(&self.stand_ins.deployment, number, platform);
-        std::fs::write(&path, text + &self.extra + more)
-            .expect("the temporary folder can be written");
+        std::fs::write(&path, text + &self.common_settings + extra_settings)
+            .expect("the temporary directory is writable");
         path
     }
 
@@ -151,22 +161,22 @@
     }
 }
 
-impl Drop for Bed {
+impl Drop for Testbed {
     fn drop(&mut self) {
-        // What is left in the temporary folder harms nobody.
-        let _ = std::fs::remove_dir_all(&self.folder);
+        // A directory that cannot be removed does not affect other tests.
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 /// Waits until an entry answers.
-pub async fn serves(entry: SocketAddr) {
+pub async fn wait_until_serving(entry: SocketAddr) {
     until("the entry serves", || async move {
         fetch(Ipv4Addr::UNSPECIFIED, entry, "/v1/addresses", PATIENCE).await.is_ok()
     })
     .await;
 }
 
-/// Posts a body with headers and returns the status and the body.
+/// Posts a body and returns the status and the decoded JSON body, or null if it is not JSON.
 pub async fn post(
     entry: SocketAddr,
     path: &str,
@@ -183,27 +193,27 @@
     (reply.status().as_u16(), value)
 }
 
-/// Sends a request over a connection of its own.
+/// Sends a request over a new connection.
 pub async fn send(entry: SocketAddr, request: Request<Full<Bytes>>) -> Reply {
     let mut client =
         Client::connect(Ipv4Addr::UNSPECIFIED, entry, PATIENCE).await.expect("the entry listens");
     client.send(request).await.expect("the entry answers")
 }
 
-/// Gets a path as text.
+/// Fetches a path and returns the body as text.
 pub async fn get(daemon: SocketAddr, path: &str) -> String {
     let reply =
         fetch(Ipv4Addr::UNSPECIFIED, daemon, path, PATIENCE).await.expect("the daemon answers");
     String::from_utf8_lossy(reply.body()).into_owned()
 }
 
-/// Runs a program to its end.
-pub fn run(program: &str, args: &[&str]) -> Output {
+/// Runs a program until it exits.
+pub fn run_program(program: &str, args: &[&str]) -> Output {
     Command::new(program).args(args).output().expect("the program was built with the test")
 }
 
-/// Returns what a program printed, and its exit code.
-pub fn printed(output: &Output) -> (String, Option<i32>) {
+/// Returns standard output followed by standard error, and the exit code.
+pub fn text_and_code(output: &Output) -> (String, Option<i32>) {
     let out = String::from_utf8_lossy(&output.stdout);
     let err = String::from_utf8_lossy(&output.stderr);
     (format!("{out}{err}"), output.status.code())
