--- a/daemons/src/bin/bergamot-entry.rs
+++ b/daemons/src/bin/bergamot-entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon: callers' HTTP.
+//! The entry daemon: serves callers over HTTP.
 
 use std::process::ExitCode;
 
@@ -9,5 +9,5 @@
     let about = "serves callers' queries and writes";
     let service =
         Service { start: Entry::start, failed: EntryHandle::failed, stop: EntryHandle::stop };
-    bergamotstand::run("bergamot-entry", about, &service)
+    bergamotstand::run_daemon("bergamot-entry", about, &service)
 }
--- a/daemons/src/bin/bergamot-gather.rs
+++ b/daemons/src/bin/bergamot-gather.rs
@@ -1,4 +1,4 @@
-//! The gather daemon: connections to searchers.
+//! The gather daemon: runs sub-queries on searchers.
 
 use std::process::ExitCode;
 
@@ -9,5 +9,5 @@
     let about = "holds connections to searchers and runs sub-queries";
     let service =
         Service { start: Gather::start, failed: GatherHandle::failed, stop: GatherHandle::stop };
-    bergamotstand::run("bergamot-gather", about, &service)
+    bergamotstand::run_daemon("bergamot-gather", about, &service)
 }
