--- a/crates/front/src/caller.rs
+++ b/crates/front/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to its answer.
+//! Handling of one caller's request: read, hand over to the relay, encode the reply.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,11 +13,10 @@
 
 use crate::face::Face;
 
-/// The largest body that is read before a declaration sets the limit, in bytes.
-const ASSUMED_BODY: usize = 1 << 20;
+/// The limit on request bodies before a declaration is in force, in bytes.
+const DEFAULT_BODY_LIMIT: usize = 1 << 20;
 
-/// Answers a caller's request.
-pub(crate) async fn answer(
+pub(crate) async fn handle_request(
     relay: Arc<Relay>,
     face: Face,
     request: hyper::Request<Incoming>,
@@ -29,7 +28,8 @@
         Ok(head) => head,
         Err(cause) => return reject(StatusCode::BAD_REQUEST, cause),
     };
-    let limit = relay.declaration().map_or(ASSUMED_BODY, |declared| declared.limits.body_bytes);
+    let limit =
+        relay.declaration().map_or(DEFAULT_BODY_LIMIT, |declaration| declaration.limits.body_bytes);
     let body = match read_body(hyper::Request::new(body), limit).await {
         Ok(body) => body,
         Err(Rejection::TooLarge) => {
@@ -51,12 +51,13 @@
     (face.write)(relay.handle(request).await)
 }
 
+/// Returns the host that a request names in its header or else in its URI.
 fn host(parts: &Parts) -> Name {
-    let named = parts.headers.get(HOST).and_then(|value| value.to_str().ok());
-    Name::from(named.or(parts.uri.host()).unwrap_or_default())
+    let header = parts.headers.get(HOST).and_then(|value| value.to_str().ok());
+    Name::from(header.or(parts.uri.host()).unwrap_or_default())
 }
 
-/// Returns the path and query alone, which is what a searcher is asked for.
+/// Returns the path and query without scheme and authority, as sent to a searcher.
 fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query().map_or_else(Uri::default, |path| Uri::from(path.clone()))
 }
--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -1,9 +1,9 @@
-//! Start, service and planned stop of the daemon.
+//! Start, operation and planned stop of the daemon.
 //!
-//! A planned stop: the members and the platform are told at once, so no caller is sent here
-//! any more; callers who were sent here before are served until their address answers have
-//! expired; then the listener closes, what is in flight is finished, and the process ends.
-//! Invariant: every request that was read gets its answer before the process ends.
+//! A planned stop is announced to the other members and the platform at once, so that no further
+//! callers are directed here. Callers that hold this instance's address are served until their
+//! address responses have expired. Then the listener closes, requests in flight are completed, and
+//! the process ends. Invariant: every request that was read is answered before the process ends.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -36,13 +36,14 @@
 use crate::member;
 use crate::settings::Settings;
 
-/// How often members are counted and searchers whose entries are missing are removed.
+/// The interval of the periodic work: members are counted, and searchers whose entries are missing
+/// are removed.
 const TICK: Duration = Duration::from_millis(100);
 
-/// How many ticks share one line of counts in the log: one line in ten seconds.
+/// The number of ticks per summary line in the log: one line every ten seconds.
 const TICKS_PER_SUMMARY: u32 = 100;
 
-/// What the handlers share.
+/// State shared by the request handlers and the background tasks.
 struct Inner {
     settings: Settings,
     face: Face,
@@ -51,7 +52,7 @@
     feed: Arc<FeedState>,
     tasks: Tasks,
     leaving: AtomicBool,
-    /// The members that take callers, as of the last tick.
+    /// The members that serve callers, as of the last tick.
     serving: Mutex<BTreeSet<Ipv4Addr>>,
 }
 
@@ -59,8 +60,8 @@
 pub struct Daemon {
     inner: Arc<Inner>,
     stop: CancellationToken,
-    close: CancellationToken,
-    callers: JoinHandle<()>,
+    close_listener: CancellationToken,
+    caller_listener: JoinHandle<()>,
 }
 
 impl std::fmt::Debug for Daemon {
@@ -70,7 +71,7 @@
 }
 
 impl Daemon {
-    /// Binds the listeners and starts to follow what is published.
+    /// Binds the listeners and starts to follow the store.
     pub async fn start(
         settings: Settings,
         face: Face,
@@ -79,15 +80,15 @@
         peers: bergamot_peers::Settings,
         source: Source,
     ) -> Result<Self, Fault> {
-        let (stop, close) = (CancellationToken::new(), CancellationToken::new());
-        let links = Arc::new(Channels::new(relay.address));
+        let (stop, close_listener) = (CancellationToken::new(), CancellationToken::new());
+        let channels = Arc::new(Channels::new(relay.address));
         let port = settings.members.port();
-        let relay = Relay::new(relay, dialect, member::helping(&links, port));
+        let relay = Relay::new(relay, dialect, member::relay_calls(&channels, port));
         let feed = Arc::new(FeedState::default());
         let tasks = Tasks::new(stop.clone());
         let listener = listen(settings.members).await?;
-        let serving = (Arc::clone(&relay), Arc::clone(&feed), stop.clone());
-        tasks.spawn("members", member::serve(listener, serving.0, serving.1, serving.2));
+        let server = member::serve(listener, Arc::clone(&relay), Arc::clone(&feed), stop.clone());
+        tasks.spawn("members", server);
         let quarantine = Arc::clone(relay.quarantine());
         let peers = Peers::start(peers, quarantine, &tasks, stop.clone()).await?;
         let inner = Arc::new(Inner {
@@ -100,66 +101,67 @@
             leaving: AtomicBool::new(false),
             serving: Mutex::default(),
         });
-        let sink = sink(&inner);
-        let (asking, comparing) = (Arc::clone(&inner), Arc::clone(&inner));
+        let sink = feed_sink(&inner);
+        let (for_topology, for_versions) = (Arc::clone(&inner), Arc::clone(&inner));
         let members = Members {
-            topology: Box::new(move || asking.roster()),
-            query_news: member::asking(&links, port),
-            fetch_chunks: member::fetching(&links, port),
-            find_newer: Box::new(move |version| comparing.peers.member_ahead_of(version)),
-            fetch_record: Box::new(member::looking_up(&links, port)),
+            topology: Box::new(move || for_topology.topology()),
+            query_news: member::news_query(&channels, port),
+            fetch_chunks: member::chunk_query(&channels, port),
+            find_newer: Box::new(move |version| for_versions.peers.member_ahead_of(version)),
+            fetch_record: Box::new(member::record_query(&channels, port)),
         };
-        let join = if inner.peers.seeds().contains(&inner.relay.settings().address) {
+        let startup_wait = if inner.peers.seeds().contains(&inner.relay.settings().address) {
             inner.settings.join
         } else {
             inner.settings.settle
         };
-        let periods = bergamot_feed::Settings { startup_wait: join, ..Default::default() };
-        tasks.spawn("follower", follow(source, members, sink, feed, periods, stop.clone()));
-        tasks.spawn("tick", tick(Arc::clone(&inner), stop.clone()));
+        let feed_settings = bergamot_feed::Settings { startup_wait, ..Default::default() };
+        tasks.spawn("follower", follow(source, members, sink, feed, feed_settings, stop.clone()));
+        tasks.spawn("tick", run_periodic_work(Arc::clone(&inner), stop.clone()));
         let addresses = &inner.settings;
         serve_pages(addresses.metrics, &inner, &stop, Inner::metrics).await?;
         serve_pages(addresses.readiness, &inner, &stop, Inner::readiness).await?;
         serve_pages(addresses.directory, &inner, &stop, Inner::directory).await?;
         let listener = listen(inner.settings.callers).await?;
-        let answering = Arc::clone(&inner);
-        let serving = serve(listener, close.clone(), move |request, _peer| {
-            let inner = Arc::clone(&answering);
+        let for_callers = Arc::clone(&inner);
+        let server = serve(listener, close_listener.clone(), move |request, _peer| {
+            let inner = Arc::clone(&for_callers);
             async move {
                 let relay = Arc::clone(&inner.relay);
-                let mut response = caller::answer(relay, inner.face, request).await;
+                let mut response = caller::handle_request(relay, inner.face, request).await;
                 if inner.is_leaving() {
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 response
             }
         });
-        // The listener closes before the other tasks stop, and is watched until then.
-        let callers = tasks.until(close.clone()).spawn("callers", serving);
-        Ok(Self { inner, stop, close, callers })
+        // The listener closes before the other tasks stop; until then its end counts as a failure.
+        let caller_listener = tasks.until(close_listener.clone()).spawn("callers", server);
+        Ok(Self { inner, stop, close_listener, caller_listener })
     }
 
-    /// Takes the seeds of changed settings; everything else needs a restart.
+    /// Applies the seeds of changed settings; all other changes need a restart.
     pub fn reload(&self, peers: &bergamot_peers::Settings) {
         self.inner.peers.set_seeds(peers.seeds.clone());
     }
 
-    /// Waits until a task has ended without which the daemon can't go on; it is not ready any
-    /// more, and should be stopped and started anew.
+    /// Waits until an essential task has ended unexpectedly. The daemon is then no longer ready
+    /// and should be restarted.
     pub async fn failed(&self) {
         self.inner.tasks.failed().await;
     }
 
-    /// Stops as planned; returns once everything that was read is answered.
+    /// Performs a planned stop; returns once every request that was read is answered, or when the
+    /// time for the stop is over.
     pub async fn stop(self) {
         let settings = &self.inner.settings;
-        let (linger, end) = (Instant::now() + settings.linger, Instant::now() + settings.stop);
+        let (close_at, end) = (Instant::now() + settings.linger, Instant::now() + settings.stop);
         log::info!("front: event=leaving linger_ms={}", settings.linger.as_millis());
         self.inner.leaving.store(true, Ordering::Relaxed);
         self.inner.peers.announce_leaving();
-        sleep_until(linger).await;
-        self.close.cancel();
-        if tokio::time::timeout_at(end, self.callers).await.is_err() {
+        sleep_until(close_at).await;
+        self.close_listener.cancel();
+        if tokio::time::timeout_at(end, self.caller_listener).await.is_err() {
             log::warn!("front: event=stopped_late cause=\"requests are still in flight\"");
         }
         self.stop.cancel();
@@ -173,8 +175,11 @@
     }
 
     fn is_ready(&self) -> bool {
-        let informed = self.relay.quarantine().is_synced();
-        !self.is_leaving() && !self.tasks.has_failed() && self.relay.version() > 0 && informed
+        let quarantine_synced = self.relay.quarantine().is_synced();
+        !self.is_leaving()
+            && !self.tasks.has_failed()
+            && self.relay.version() > 0
+            && quarantine_synced
     }
 
     fn metrics(&self, uri: &Uri) -> Response<Body> {
@@ -191,14 +196,14 @@
         }
     }
 
-    /// Writes what this instance believes, for an operator.
+    /// Returns this instance's state as text, for operators.
     fn dump(&self) -> String {
         let members = self.peers.with_view(ToString::to_string);
         let serving: Vec<String> = self.serving().iter().map(ToString::to_string).collect();
         let (ready, leaving) = (self.is_ready(), self.is_leaving());
-        let duty = self.roster().unwrap_or_default().role;
+        let role = self.topology().unwrap_or_default().role;
         format!(
-            "ready {ready} leaving {leaving} duty {duty:?}\nserving {}\n{members}{}",
+            "ready {ready} leaving {leaving} duty {role:?}\nserving {}\n{members}{}",
             serving.join(" "),
             self.relay.dump()
         )
@@ -225,17 +230,19 @@
         (self.face.addresses)(&addresses, self.settings.ttl)
     }
 
-    /// Tells who does what for the others' news; nothing while it can't be told yet.
+    /// Returns the roles by which members distribute the store's updates, or `None` while they
+    /// cannot be determined.
     ///
-    /// The first member of each region reads, the second is its deputy. Those with the most
-    /// processor come first: their links carry more as well, and what is read passes there.
-    fn roster(&self) -> Option<Topology> {
+    /// The first member of each region reads the store, and the second is its deputy. Members with
+    /// the most processor capacity rank first, because everything that is read passes over their
+    /// links, which have more bandwidth as well.
+    fn topology(&self) -> Option<Topology> {
         if !self.peers.is_settled() {
-            return self.early_roster();
+            return self.bootstrap_topology();
         }
         let settings = self.relay.settings();
         let (own, region) = (settings.address, self.region(&settings.zone));
-        let (fresh, fleet) = (self.peers.up_to_date_members(), self.peers.size());
+        let (up_to_date, member_count) = (self.peers.up_to_date_members(), self.peers.size());
         self.peers.with_view(|view| {
             let mut regions: Vec<_> =
                 ranked(view, |record| self.region(&record.zone)).into_iter().collect();
@@ -244,60 +251,63 @@
                 members.sort_by_cached_key(|endpoint| Reverse(weight(*endpoint)));
             }
             regions.sort_by_key(|(name, _)| *name != region);
-            let at = |rank: usize| {
+            let at_rank = |rank: usize| {
                 let members = regions.iter().filter_map(move |(_, members)| members.get(rank));
                 members.map(|endpoint| endpoint.ip).collect::<Vec<_>>()
             };
-            let (first, second) = (at(0), at(1));
-            let duty = match () {
+            let (first, second) = (at_rank(0), at_rank(1));
+            let role = match () {
                 () if first.contains(&own) || !settings.policy.readers.on => ReadRole::Reader,
                 () if second.contains(&own) => ReadRole::Deputy,
                 () => ReadRole::Follower,
             };
             let others = first.into_iter().chain(second).filter(|ip| *ip != own);
             let mut readers: Vec<Ipv4Addr> = others.collect();
-            let near = regions.first().map(|(_, members)| lineage(members, own));
-            let mut lineage = near.unwrap_or_default();
-            append(&mut lineage, &readers);
-            append(&mut readers, &fresh);
-            Some(Topology { role: duty, readers, chunk_sources: lineage, member_count: fleet })
+            let in_region = regions.first().map(|(_, members)| chunk_tree_ancestors(members, own));
+            let mut chunk_sources = in_region.unwrap_or_default();
+            append_missing(&mut chunk_sources, &readers);
+            append_missing(&mut readers, &up_to_date);
+            Some(Topology { role, readers, chunk_sources, member_count })
         })
     }
 
-    /// Tells who does what before this member knows all others.
-    fn early_roster(&self) -> Option<Topology> {
+    /// Returns the roles that apply until this member knows all others.
+    fn bootstrap_topology(&self) -> Option<Topology> {
         let own = self.relay.settings().address;
-        let is_there = |ip| {
+        let is_reachable = |ip| {
             let endpoint = Endpoint { ip, role: Role::Entry };
             self.peers.with_view(|view| view.takes_work(endpoint))
         };
-        let (seeds, fresh) = (self.peers.seeds(), self.peers.up_to_date_members());
-        Topology::bootstrap(own, &seeds, is_there, fresh, self.peers.size())
+        let (seeds, up_to_date) = (self.peers.seeds(), self.peers.up_to_date_members());
+        Topology::bootstrap(own, &seeds, is_reachable, up_to_date, self.peers.size())
     }
 
-    /// Logs what changed of the searchers; who reads the store names all of them.
+    /// Logs changes of searchers; a member that reads the store logs the name of every changed
+    /// searcher.
     fn log_changes(&self) {
         self.relay.log_changes(|| {
-            let reads = self.roster().is_some_and(|roster| roster.role == ReadRole::Reader);
-            (self.feed.mirror().position(), reads)
+            let is_reader =
+                self.topology().is_some_and(|topology| topology.role == ReadRole::Reader);
+            (self.feed.mirror().position(), is_reader)
         });
     }
 
-    /// Returns the region of a zone; a zone that is not known is a region of its own.
+    /// Returns the region of a zone; an unknown zone counts as a region of its own.
     fn region(&self, zone: &Name) -> Name {
         Name::clone(self.relay.settings().regions.get(zone).unwrap_or(zone))
     }
 
-    /// Returns the members that take callers and hold connections.
+    /// Returns the members that serve callers and hold connections to searchers.
     fn serving(&self) -> BTreeSet<Ipv4Addr> {
         self.serving.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Chooses the members that take callers, and takes its own part.
+    /// Selects the members that serve callers, and applies the result to this member.
     ///
-    /// A member that doesn't know all others yet takes no seat: it would take itself for one of
-    /// few. What it is asked it answers with the connections that one of so many may have.
-    fn seat(&self) {
+    /// A member that does not know all others yet does not count as serving: it would take itself
+    /// for one of few members. It answers the requests that reach it with the number of
+    /// connections that one of [`Peers::size`] members may hold.
+    fn update_serving(&self) {
         self.relay.set_members(
             self.peers.with_view(|view| view.working().map(|record| record.endpoint.ip).collect()),
         );
@@ -309,101 +319,103 @@
         let coverage = self.relay.coverage();
         let count = |zone: &Name| coverage.zones.get(zone).copied().unwrap_or(0);
         let best = coverage.zones.values().copied().max().unwrap_or(0);
-        // A zone with searchers of most services; some services have one in every zone.
-        let beside = |zone: &Name| count(zone) * 2 > best;
-        let seat = |record: &Record| Candidate {
+        // A zone counts only if it has searchers of more than half as many services as the zone
+        // with the most, because some services have a searcher in every zone.
+        let has_searchers = |zone: &Name| count(zone) * 2 > best;
+        let candidate = |record: &Record| Candidate {
             ip: record.endpoint.ip,
             region: self.region(&record.zone),
-            in_searcher_zone: beside(&record.zone),
+            in_searcher_zone: has_searchers(&record.zone),
             weight: record.weight,
         };
-        let seats: Vec<Candidate> = self.peers.with_view(|view| {
-            view.iter().filter(|record| record.state.takes_work()).map(seat).collect()
+        let candidates: Vec<Candidate> = self.peers.with_view(|view| {
+            view.iter().filter(|record| record.state.takes_work()).map(candidate).collect()
         });
         let connections = coverage.fewest_connections.unwrap_or(usize::MAX);
-        let chosen = select_serving(&seats, connections, &settings.policy.seats);
-        let serves = chosen.contains(&settings.address);
-        let members = if serves { chosen.len() } else { self.peers.size() };
-        *self.serving.lock().unwrap_or_else(PoisonError::into_inner) = chosen;
+        let selected = select_serving(&candidates, connections, &settings.policy.seats);
+        let serves = selected.contains(&settings.address);
+        let members = if serves { selected.len() } else { self.peers.size() };
+        *self.serving.lock().unwrap_or_else(PoisonError::into_inner) = selected;
         self.relay.tick(members, serves);
-        self.relay.set_delegate_members(self.helpers());
+        self.relay.set_delegate_members(self.delegate_members());
     }
 
-    /// Lists the members that may be asked for shards in their region.
-    fn helpers(&self) -> Vec<DelegateMember> {
+    /// Returns the members to which shards of their region can be delegated.
+    fn delegate_members(&self) -> Vec<DelegateMember> {
         let settings = self.relay.settings();
-        let helper = |record: &Record| {
+        let delegate = |record: &Record| {
             let (zone, region) = (Name::clone(&record.zone), self.region(&record.zone));
             DelegateMember { ip: record.endpoint.ip, zone, region }
         };
         let serving = self.serving();
-        let can_help = |record: &&Record| {
+        let is_eligible = |record: &&Record| {
             let ip = record.endpoint.ip;
             record.state == State::Alive && ip != settings.address && serving.contains(&ip)
         };
-        self.peers.with_view(|view| view.iter().filter(can_help).map(helper).collect())
+        self.peers.with_view(|view| view.iter().filter(is_eligible).map(delegate).collect())
     }
 
-    /// Lists the instances to which callers may be sent.
+    /// Returns the instances to which callers can be directed.
     ///
-    /// A member that is alive is taken to be ready: one that has no declaration yet gets it
-    /// before an address answer could reach a caller.
+    /// Every alive member is assumed to be ready: one without a declaration receives it before an
+    /// address response that names the member could reach a caller.
     fn ready_instances(&self) -> Vec<InstanceLocation<SocketAddr>> {
         if !self.peers.is_settled() {
-            // What callers were told before is better than the few that are known here.
+            // The addresses that callers already have are better than the few members known here.
             return Vec::new();
         }
         let port = self.settings.callers.port();
         let own = self.settings.callers.ip();
-        let place = |record: &Record| {
+        let location = |record: &Record| {
             let instance = SocketAddr::from((record.endpoint.ip, port));
             let (zone, region) = (Name::clone(&record.zone), self.region(&record.zone));
             InstanceLocation { instance, zone, region }
         };
         let serving = self.serving();
-        let may_serve = |record: &&Record| {
-            let here = own == record.endpoint.ip;
-            let ready = if here { self.is_ready() } else { record.state == State::Alive };
+        let is_ready = |record: &&Record| {
+            let is_self = own == record.endpoint.ip;
+            let ready = if is_self { self.is_ready() } else { record.state == State::Alive };
             record.endpoint.role == Role::Entry && ready
         };
         self.peers.with_view(|view| {
-            let ready: Vec<&Record> = view.iter().filter(may_serve).collect();
-            let chosen: Vec<_> = ready
+            let ready: Vec<&Record> = view.iter().filter(is_ready).collect();
+            let selected: Vec<_> = ready
                 .iter()
                 .filter(|record| serving.contains(&record.endpoint.ip))
-                .map(|record| place(record))
+                .map(|record| location(record))
                 .collect();
-            // Any ready instance is better for a caller than none.
-            if chosen.is_empty() { ready.into_iter().map(place).collect() } else { chosen }
+            // If no serving member is ready, any ready instance is better for a caller than none.
+            if selected.is_empty() { ready.into_iter().map(location).collect() } else { selected }
         })
     }
 }
 
-/// Answers each request at an address by its path and query alone, until `stop`.
+/// Serves pages that depend only on the path and query of a request, until `stop`.
 async fn serve_pages(
     address: SocketAddr,
     inner: &Arc<Inner>,
     stop: &CancellationToken,
-    answer: fn(&Inner, &Uri) -> Response<Body>,
+    respond: fn(&Inner, &Uri) -> Response<Body>,
 ) -> Result<(), Fault> {
-    let (listener, answering) = (listen(address).await?, Arc::clone(inner));
-    let serving = serve(listener, stop.clone(), move |request, _peer| {
-        let reply = answer(&answering, request.uri());
-        async move { reply }
+    let (listener, for_pages) = (listen(address).await?, Arc::clone(inner));
+    let server = serve(listener, stop.clone(), move |request, _peer| {
+        let response = respond(&for_pages, request.uri());
+        async move { response }
     });
-    inner.tasks.spawn("pages", serving);
+    inner.tasks.spawn("pages", server);
     Ok(())
 }
 
-/// Appends those that aren't there yet.
-fn append(ips: &mut Vec<Ipv4Addr>, others: &[Ipv4Addr]) {
-    let further = others.iter().filter(|ip| !ips.contains(ip)).copied();
-    let further: Vec<Ipv4Addr> = further.collect();
-    ips.extend(further);
+/// Appends the addresses that the list does not contain yet.
+fn append_missing(ips: &mut Vec<Ipv4Addr>, others: &[Ipv4Addr]) {
+    let missing = others.iter().filter(|ip| !ips.contains(ip)).copied();
+    let missing: Vec<Ipv4Addr> = missing.collect();
+    ips.extend(missing);
 }
 
-/// Lists whom a member asks for chunks among the ranked members of its region.
-fn lineage(members: &[Endpoint], own: Ipv4Addr) -> Vec<Ipv4Addr> {
+/// Returns the ancestors of a member in the chunk distribution tree of its region, whose members
+/// are given in rank order.
+fn chunk_tree_ancestors(members: &[Endpoint], own: Ipv4Addr) -> Vec<Ipv4Addr> {
     let position = members.iter().position(|endpoint| endpoint.ip == own);
     position
         .into_iter()
@@ -413,10 +425,11 @@
         .collect()
 }
 
-async fn tick(inner: Arc<Inner>, stop: CancellationToken) {
+/// Runs the periodic work every [`TICK`] until `stop`.
+async fn run_periodic_work(inner: Arc<Inner>, stop: CancellationToken) {
     let mut ticks = 0_u32;
     while !stop.is_cancelled() {
-        inner.seat();
+        inner.update_serving();
         inner.peers.set_revision(inner.relay.version(), inner.feed.is_fresh());
         inner.relay.set_update_bytes_sent(inner.feed.bytes_sent());
         inner.relay.set_store_era(inner.feed.mirror().position().era);
@@ -429,31 +442,34 @@
     }
 }
 
-fn sink(inner: &Arc<Inner>) -> Sink {
-    let (news, away) = (Arc::clone(inner), Arc::clone(inner));
-    let (behind, asked) = (Arc::clone(inner), Arc::clone(inner));
-    let (wanted, restored) = (Arc::clone(inner), Arc::clone(inner));
+/// Returns the feed's callbacks, which apply its events to the relay.
+fn feed_sink(inner: &Arc<Inner>) -> Sink {
+    let (for_records, for_outages) = (Arc::clone(inner), Arc::clone(inner));
+    let (for_suspension, for_queries) = (Arc::clone(inner), Arc::clone(inner));
+    let (for_callers, for_restores) = (Arc::clone(inner), Arc::clone(inner));
     Sink {
-        on_record: Box::new(move |record| take(&news.relay, record)),
-        on_store_away: Box::new(move |is_away, age| away.relay.set_store_unavailable(is_away, age)),
-        on_restore: Box::new(move |former, at| restored.relay.note_restore(former, at)),
-        was_suspended: Box::new(move || behind.relay.is_behind()),
-        has_waiting_callers: Box::new(move || wanted.relay.has_early_request()),
-        on_query_end: Box::new(move |question| note(&asked.relay, question)),
+        on_record: Box::new(move |event| apply_record_event(&for_records.relay, event)),
+        on_store_away: Box::new(move |unavailable, age| {
+            for_outages.relay.set_store_unavailable(unavailable, age);
+        }),
+        on_restore: Box::new(move |former, at| for_restores.relay.note_restore(former, at)),
+        was_suspended: Box::new(move || for_suspension.relay.is_behind()),
+        has_waiting_callers: Box::new(move || for_callers.relay.has_early_request()),
+        on_query_end: Box::new(move |report| record_query_report(&for_queries.relay, report)),
     }
 }
 
-/// Counts a question of the feed, and notes that news came.
-fn note(relay: &Relay, question: &QueryReport) {
-    let origin = if question.origin == Origin::Store { "store" } else { "member" };
-    relay.count_store_update(origin, question.error.unwrap_or("answered"), question.bytes);
-    if question.error.is_none() && question.kind == QueryKind::News {
-        relay.note_store_update(question.at);
+/// Counts a query of the feed, and records the time of a successful query for updates.
+fn record_query_report(relay: &Relay, report: &QueryReport) {
+    let origin = if report.origin == Origin::Store { "store" } else { "member" };
+    relay.count_store_update(origin, report.error.unwrap_or("answered"), report.bytes);
+    if report.error.is_none() && report.kind == QueryKind::News {
+        relay.note_store_update(report.at);
     }
 }
 
-fn take(relay: &Relay, news: RecordEvent) {
-    match news {
+fn apply_record_event(relay: &Relay, event: RecordEvent) {
+    match event {
         RecordEvent::Declared(declaration) => {
             relay.apply_declaration(*declaration);
         }
--- a/crates/front/src/face.rs
+++ b/crates/front/src/face.rs
@@ -1,4 +1,4 @@
-//! How callers speak with the daemon.
+//! The HTTP conventions between callers and the daemon.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use hyper::http::request::Parts;
 use hyper::{Response, Uri};
 
-/// What the head of a caller's request says besides its content.
+/// Metadata from the head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The identifier that the caller gave to the request.
+    /// The request identifier, as chosen by the caller.
     pub id: HeaderValue,
-    /// How long the caller will wait, if they said so.
+    /// How long the caller waits for the response, if the request states it.
     pub deadline: Option<Duration>,
 }
 
-/// Where a caller is who asks for addresses.
+/// The location of a caller that queries addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Origin {
     /// The availability zone.
@@ -27,17 +27,19 @@
     pub region: String,
 }
 
-/// One way in which callers speak with the daemon.
+/// The HTTP conventions of one kind of caller, as functions on requests and responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Face {
-    /// Reads the head of a request and removes from its headers what is not passed on.
+    /// Reads the request metadata and removes the headers that are not forwarded.
+    ///
+    /// An error is the reason why the request is rejected.
     pub read: fn(&mut Parts) -> Result<Head, &'static str>,
-    /// Writes what became of a request.
+    /// Encodes the outcome of a request.
     pub write: fn(Reply) -> Response<Body>,
-    /// Reads where a caller is who asks for addresses, unless it is no such question.
+    /// Reads the caller's location from an address query; `None` for any other URI.
     pub origin: fn(&Uri) -> Option<Origin>,
-    /// Writes an address answer.
+    /// Encodes the response to an address query: the addresses and how long they may be cached.
     pub addresses: fn(&[SocketAddr], Duration) -> Response<Body>,
-    /// Tells whether a path is the question whether this instance is ready.
+    /// Returns whether a URI is that of the readiness probe.
     pub asks_ready: fn(&Uri) -> bool,
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon that passes callers' requests on to searchers.
+//! The daemon that forwards callers' requests to searchers.
 //!
-//! A [`Daemon`] wires membership, the feed and the relay to listeners: one for callers, one
-//! for the question whether it is ready, one for callers who ask which addresses to use.
-//! How those speak is a [`Face`], a value that is handed in. See
+//! A [`Daemon`] connects membership, the feed and the relay to its listeners: one for callers'
+//! requests, one for readiness probes, one for address queries, one for metrics and one for other
+//! members. The HTTP conventions of callers are passed in as a [`Face`]. See
 //! `docs/design/0009-platform.md`.
 
 mod caller;
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -1,4 +1,4 @@
-//! What this member does for others, and how it asks them.
+//! RPCs between members: the server for other members' calls, and the calls to them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -19,20 +19,24 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// How long an answer may take beyond the time that the question waits for news: several
-/// round trips between regions (16 ms), and late timers of a slow core.
-const ANSWER: Duration = Duration::from_millis(250);
+/// How long a response may take in addition to the time for which the query waits for updates.
+///
+/// Covers several round trips between regions (16 ms) and delayed timers on a slow core.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
 
-/// How long an answer with chunks may take beyond the time that it waits for them: 16 KB at a
-/// tenth of a link of 14 Mbit/s, twice over, since others are sent theirs before.
-const ANSWER_WITH_CHUNKS: Duration = Duration::from_millis(800);
+/// How long a response with chunks may take in addition to the time for which the query waits.
+///
+/// Twice the time that 16 KB take at a tenth of a link of 14 Mbit/s, since the responses to other
+/// members may be sent first.
+const CHUNK_RESPONSE_MARGIN: Duration = Duration::from_millis(800);
 
-/// The longest time that a question for news may wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// The limit on the time for which a query of another member may wait for updates or chunks.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// The connections to other members.
-pub(crate) type Links = Arc<Channels<MemberClient>>;
+/// RPC connections to other members.
+pub(crate) type MemberChannels = Arc<Channels<MemberClient>>;
 
+/// Handles the RPCs of other members.
 #[derive(Clone)]
 struct Server {
     relay: Arc<Relay>,
@@ -57,7 +61,7 @@
     }
 
     async fn news(self, _context: Context, query: NewsQuery) -> News {
-        let wait = query.wait.min(LONGEST_WAIT);
+        let wait = query.wait.min(MAX_WAIT);
         self.feed.news(NewsQuery { wait, ..query }).await
     }
 
@@ -66,11 +70,11 @@
     }
 
     async fn chunks(self, _context: Context, hashes: Vec<u64>, wait: Duration) -> Vec<Vec<u8>> {
-        self.feed.chunks(&hashes, wait.min(LONGEST_WAIT)).await
+        self.feed.chunks(&hashes, wait.min(MAX_WAIT)).await
     }
 }
 
-/// Answers other members until `stop`.
+/// Serves the RPCs of other members until `stop`.
 pub(crate) fn serve(
     listener: TcpListener,
     relay: Arc<Relay>,
@@ -84,125 +88,137 @@
     })
 }
 
-/// Makes the functions that ask members for shards.
-pub(crate) fn helping(links: &Links, port: u16) -> Helping {
-    let (gathering, resting, fetching) = (Arc::clone(links), Arc::clone(links), Arc::clone(links));
-    let granting = Arc::clone(links);
+/// Returns the relay's calls to other members.
+pub(crate) fn relay_calls(channels: &MemberChannels, port: u16) -> Helping {
+    let (for_gather, for_rest) = (Arc::clone(channels), Arc::clone(channels));
+    let (for_records, for_grant) = (Arc::clone(channels), Arc::clone(channels));
     Helping {
-        gather: Box::new(move |ip, query, until| {
-            call(&gathering, (ip, port), until, |client, context| async move {
+        gather: Box::new(move |ip, query, deadline| {
+            call(&for_gather, (ip, port), deadline, |client, context| async move {
                 client.gather(context, query).await
             })
         }),
-        rest: Box::new(move |ip, token, until| {
-            call(&resting, (ip, port), until, move |client, context| async move {
+        rest: Box::new(move |ip, token, deadline| {
+            call(&for_rest, (ip, port), deadline, move |client, context| async move {
                 client.rest(context, token).await
             })
         }),
-        records: Box::new(move |ip, token, until| {
-            call(&fetching, (ip, port), until, move |client, context| async move {
+        records: Box::new(move |ip, token, deadline| {
+            call(&for_records, (ip, port), deadline, move |client, context| async move {
                 client.records(context, token).await
             })
         }),
-        grant: Box::new(move |ip, fingerprint, until| {
-            call(&granting, (ip, port), until, move |client, context| async move {
+        grant: Box::new(move |ip, fingerprint, deadline| {
+            call(&for_grant, (ip, port), deadline, move |client, context| async move {
                 client.grant(context, fingerprint).await
             })
         }),
     }
 }
 
-/// Asks a member, until a moment.
+/// Calls a member, with a deadline.
 fn call<T, F>(
-    links: &Links,
+    channels: &MemberChannels,
     peer: (Ipv4Addr, u16),
-    until: Instant,
-    ask: impl FnOnce(MemberClient, Context) -> F + Send + 'static,
+    deadline: Instant,
+    send: impl FnOnce(MemberClient, Context) -> F + Send + 'static,
 ) -> MemberFuture<T>
 where
     T: Send + 'static,
     F: Future<Output = Result<T, RpcError>> + Send,
 {
-    let (links, peer) = (Arc::clone(links), SocketAddr::from(peer));
+    let (channels, peer) = (Arc::clone(channels), SocketAddr::from(peer));
     Box::pin(async move {
         let exchange = async {
-            let client = links.get(peer).await.map_err(|fault| fault.to_string())?;
+            let client = channels.get(peer).await.map_err(|fault| fault.to_string())?;
             let mut context = tarpc::context::current();
-            context.deadline = until;
-            ask(client, context).await.map_err(|error| error.to_string())
+            context.deadline = deadline;
+            send(client, context).await.map_err(|error| error.to_string())
         };
-        within(&links, peer, until, exchange).await
+        with_deadline(&channels, peer, deadline, exchange).await
     })
 }
 
-/// Makes the function that asks a member for news of the store.
-pub(crate) fn asking(links: &Links, port: u16) -> NewsQueryFn {
-    let links = Arc::clone(links);
+/// Returns the function that queries a member for updates of the store.
+pub(crate) fn news_query(channels: &MemberChannels, port: u16) -> NewsQueryFn {
+    let channels = Arc::clone(channels);
     Box::new(move |ip, query: NewsQuery| {
-        let until = Instant::now() + query.wait + ANSWER;
-        question("ask for news", &links, (ip, port), until, move |client, context| async move {
-            client.news(context, query).await
-        })
+        let deadline = Instant::now() + query.wait + RESPONSE_MARGIN;
+        query_member(
+            "query updates",
+            &channels,
+            (ip, port),
+            deadline,
+            move |client, context| async move { client.news(context, query).await },
+        )
     })
 }
 
-/// Makes the function that asks a member for the record of one key.
-pub(crate) fn looking_up(
-    links: &Links,
+/// Returns the function that queries a member for the record of one key.
+pub(crate) fn record_query(
+    channels: &MemberChannels,
     port: u16,
 ) -> impl Fn(Ipv4Addr, Name) -> QueryFuture<Option<Item>> + Send + Sync + 'static {
-    let links = Arc::clone(links);
+    let channels = Arc::clone(channels);
     move |ip, key| {
-        let until = Instant::now() + ANSWER;
-        question("ask for a record", &links, (ip, port), until, |client, context| async move {
-            client.record(context, key).await
-        })
+        let deadline = Instant::now() + RESPONSE_MARGIN;
+        query_member(
+            "fetch record",
+            &channels,
+            (ip, port),
+            deadline,
+            |client, context| async move { client.record(context, key).await },
+        )
     }
 }
 
-/// Makes the function that asks a member for chunks of large values.
-pub(crate) fn fetching(links: &Links, port: u16) -> ChunkQueryFn {
-    let links = Arc::clone(links);
+/// Returns the function that queries a member for chunks of large values.
+pub(crate) fn chunk_query(channels: &MemberChannels, port: u16) -> ChunkQueryFn {
+    let channels = Arc::clone(channels);
     Box::new(move |ip, hashes, wait| {
-        let until = Instant::now() + wait + ANSWER_WITH_CHUNKS;
-        question("ask for chunks", &links, (ip, port), until, move |client, context| async move {
-            client.chunks(context, hashes, wait).await
-        })
+        let deadline = Instant::now() + wait + CHUNK_RESPONSE_MARGIN;
+        query_member(
+            "fetch chunks",
+            &channels,
+            (ip, port),
+            deadline,
+            move |client, context| async move { client.chunks(context, hashes, wait).await },
+        )
     })
 }
 
-/// Asks a member a question of the feed, until a moment.
-fn question<T, F>(
+/// Sends a query of the feed to a member, with a deadline.
+fn query_member<T, F>(
     step: &'static str,
-    links: &Links,
+    channels: &MemberChannels,
     peer: (Ipv4Addr, u16),
-    until: Instant,
-    ask: impl FnOnce(MemberClient, Context) -> F + Send + 'static,
+    deadline: Instant,
+    send: impl FnOnce(MemberClient, Context) -> F + Send + 'static,
 ) -> QueryFuture<T>
 where
     T: Send + 'static,
     F: Future<Output = Result<T, RpcError>> + Send,
 {
-    let asked = call(links, peer, until, ask);
-    let failed = move |cause| Fault::new(step, SocketAddr::from(peer), cause);
+    let response = call(channels, peer, deadline, send);
+    let fault = move |cause| Fault::new(step, SocketAddr::from(peer), cause);
     Box::pin(
-        async move { asked.await.map_err(|cause| QueryError::Failed { source: failed(cause) }) },
+        async move { response.await.map_err(|cause| QueryError::Failed { source: fault(cause) }) },
     )
 }
 
-/// Waits for an exchange until a moment. A connection that failed or went silent is not
-/// used again, since nothing but the silence may show that it is dead.
-async fn within<T>(
-    links: &Links,
+/// Awaits an exchange until a deadline, and drops the connection if the exchange fails or times
+/// out: a time-out may be the only sign that a connection is dead.
+async fn with_deadline<T>(
+    channels: &MemberChannels,
     peer: SocketAddr,
-    until: Instant,
+    deadline: Instant,
     exchange: impl Future<Output = Result<T, String>>,
 ) -> Result<T, String> {
-    let elapsed = |elapsed: tokio::time::error::Elapsed| elapsed.to_string();
-    let ended = tokio::time::timeout_at(until.into(), exchange).await;
-    let ended = ended.map_err(elapsed).and_then(|ended| ended);
-    if ended.is_err() {
-        links.forget(peer).await;
+    let timed_out = |elapsed: tokio::time::error::Elapsed| elapsed.to_string();
+    let result = tokio::time::timeout_at(deadline.into(), exchange).await;
+    let result = result.map_err(timed_out).and_then(|result| result);
+    if result.is_err() {
+        channels.forget(peer).await;
     }
-    ended
+    result
 }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -6,44 +6,48 @@
 /// The settings of the daemon.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where callers' requests are taken.
+    /// The address at which callers' requests are accepted.
     pub callers: SocketAddr,
-    /// Where the question whether this instance is ready is answered.
+    /// The address of the readiness probe.
     pub readiness: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// The address at which callers query which instances to use.
     pub directory: SocketAddr,
-    /// Where metrics and the state are served, to operators alone.
+    /// The address at which metrics and the state dump are served, for operators only.
     pub metrics: SocketAddr,
-    /// Where other members' requests are taken, at the same port on every instance.
+    /// The address at which RPCs of other members are accepted. The port is the same on every
+    /// instance.
     pub members: SocketAddr,
-    /// How long the start of a seed waits for other members before it reads the store itself.
+    /// How long a seed waits for other members at startup before it reads the store itself.
     pub join: Duration,
-    /// How long the start of any other member waits for word of who reads the store.
+    /// How long any other member waits at startup to learn which members read the store.
     pub settle: Duration,
-    /// How long callers may keep an address answer.
+    /// How long callers may cache the response to an address query.
     ///
-    /// A caller whose answer has expired asks before its next request, which adds one or two
-    /// round trips to it; a caller with an old answer may try a lost instance once.
+    /// A caller whose cached response has expired queries again before its next request, which
+    /// adds one or two round trips to that request. A caller with an outdated response may try a
+    /// lost instance once.
     pub ttl: Duration,
-    /// How long a planned stop goes on serving, so that callers with an older address
-    /// answer are served: the life of an answer, and a little more.
+    /// How long a planned stop continues to accept requests, so that callers with a cached
+    /// address response are served: the TTL of such a response plus a margin.
     pub linger: Duration,
-    /// How long after the signal a planned stop has ended, whatever still runs.
+    /// The time from the stop signal after which a planned stop ends, even if requests are still
+    /// in flight.
     pub stop: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        let here = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+        let local = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         Self {
-            callers: here(7400),
-            readiness: here(7404),
-            directory: here(7405),
-            metrics: here(7403),
-            members: here(7401),
-            // An exchange with a seed in another region, twice over.
+            callers: local(7400),
+            readiness: local(7404),
+            directory: local(7405),
+            metrics: local(7403),
+            members: local(7401),
+            // Twice the duration of an exchange with a seed in another region.
             join: Duration::from_millis(60),
-            // Until a member that hears of nobody takes itself for the only one.
+            // The time after which a member that has heard from no other considers itself the only
+            // one.
             settle: Duration::from_millis(1200),
             ttl: Duration::from_secs(4),
             linger: Duration::from_millis(4300),
