--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! Metrics and state on a listener of their own, apart from the callers'.
+//! The admin listener, separate from that of callers, with metrics and the state dump.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 pub(crate) async fn serve(node: Arc<Node>, listener: TcpListener) {
     let stop = node.stop.clone();
     serve_http(listener, stop, move |request, _peer| {
-        let reply = answer(&node, request.method(), request.uri().path());
-        async move { reply }
+        let response = respond(&node, request.method(), request.uri().path());
+        async move { response }
     })
     .await;
 }
 
-fn answer(node: &Node, method: &Method, path: &str) -> Response<Body> {
+fn respond(node: &Node, method: &Method, path: &str) -> Response<Body> {
     match (method, path) {
         (&Method::GET, "/metrics") => {
             let metrics = TextEncoder::new().encode_to_string(&node.registry().gather());
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control loop: datagrams in, datagrams out, timers.
+//! The control loop, which handles datagrams and membership timers, and the pause detector.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,8 +9,8 @@
 use crate::node::{Control, Node};
 use crate::pulls;
 
-/// How often the pulse beats.
-const BEAT: Duration = Duration::from_millis(50);
+/// The interval at which the process checks whether it was paused.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the control loop until the node closes.
 pub(crate) async fn run(node: Arc<Node>) {
@@ -25,11 +25,11 @@
                 node.meter().datagram_bytes.with_label_values(&["in"]).inc_by(length as u64);
                 match bergamot_wire::decode(&buffer[..length], from) {
                     Ok(datagram) => receive(&node, &datagram),
-                    Err(garbled) => log::warn!("node: Dropped a datagram: {garbled}."),
+                    Err(error) => log::warn!("node: Dropped a datagram: {error}."),
                 }
             }
-            () = node.quarantine.changed() => spread(&node),
-            () = tokio::time::sleep_until(due.into()) => tick(&node),
+            () = node.quarantine.changed() => gossip_suspicions(&node),
+            () = tokio::time::sleep_until(due.into()) => run_due_timers(&node),
         }
     }
 }
@@ -41,7 +41,7 @@
     let now = Instant::now();
     let mut out = control.membership.receive(now, datagram, digest);
     let Control { membership, suspicions, .. } = &mut *control;
-    let heard = suspicions.hear(now, membership);
+    let reported = suspicions.hear(now, membership);
     out.extend(suspicions.inform(now, membership, datagram, digest));
     let leaving = control.membership.take_leaving();
     if control.membership.view().changes() != changes {
@@ -49,25 +49,25 @@
     }
     drop(control);
     node.transmit(out);
-    for fingerprint in heard {
-        log::info!("node: Heard that searchers end under query {fingerprint}.");
+    for fingerprint in reported {
+        log::info!("node: A member reported that searchers crash under query {fingerprint}.");
     }
     for rumour in leaving {
         if let Rumour::Leaving { searcher, run } = rumour {
-            node.heard_leaving(searcher, Some(run));
+            node.handle_leaving(searcher, Some(run));
         }
     }
-    pulls::compare(node, datagram, digest);
+    pulls::compare_digests(node, datagram, digest);
 }
 
-/// Tells the other members of queries under which searchers ended here.
-fn spread(node: &Arc<Node>) {
+/// Reports queries under which searchers crashed here to the other members.
+fn gossip_suspicions(node: &Arc<Node>) {
     let mut control = node.lock();
     let Control { membership, suspicions, .. } = &mut *control;
     suspicions.spread(Instant::now(), membership);
 }
 
-fn tick(node: &Arc<Node>) {
+fn run_due_timers(node: &Arc<Node>) {
     let mut control = node.lock();
     let digest = control.digest();
     let changes = control.membership.view().changes();
@@ -79,20 +79,25 @@
     node.transmit(out);
 }
 
-/// Beats the pulse and catches up after a pause.
-pub(crate) async fn pulse(node: Arc<Node>) {
+/// Detects pauses of the process, and catches up with peers after each.
+pub(crate) async fn detect_pauses(node: Arc<Node>) {
     loop {
         tokio::select! {
             () = node.stop.cancelled() => return,
-            () = tokio::time::sleep(BEAT) => {}
+            () = tokio::time::sleep(PAUSE_CHECK_INTERVAL) => {}
         }
         let Some(gap) = node.awake.beat(Instant::now()) else {
             continue;
         };
         node.meter().pauses.inc();
-        log::warn!("node: {} slept for {} ms and catches up.", role(&node), gap.as_millis());
-        // A bound on the whole of it: peers that don't answer must not keep us idle.
-        let _ = tokio::time::timeout(BEAT * 5, pulls::catch_up(&node, false)).await;
+        log::warn!(
+            "node: {} slept for {} ms; catching up with peers.",
+            role(&node),
+            gap.as_millis()
+        );
+        // The time is bounded: peers that do not answer must not keep this node from new work.
+        let bound = PAUSE_CHECK_INTERVAL * 5;
+        let _ = tokio::time::timeout(bound, pulls::catch_up(&node, false)).await;
         node.awake.caught_up();
     }
 }
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -1,4 +1,4 @@
-//! The metrics that every daemon has.
+//! Metrics that all daemons have.
 
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
@@ -9,28 +9,28 @@
     pub datagrams: IntCounterVec,
     /// Bytes of control datagrams, by direction.
     pub datagram_bytes: IntCounterVec,
-    /// Exchanges over control streams that this node began, by result.
+    /// Exchanges over control streams that this node initiated, by result.
     pub pulls: IntCounterVec,
-    /// Bytes that came back in those exchanges.
+    /// Bytes received in those exchanges.
     pub pull_bytes: IntCounter,
-    /// Reads of the platform, by what was read.
+    /// Reads from the platform, by the resource that was read.
     pub platform_reads: IntCounterVec,
-    /// Reads of the platform that failed, by what was read.
+    /// Failed reads from the platform, by the resource that was read.
     pub platform_failures: IntCounterVec,
-    /// Documents that were refused.
+    /// Documents that were refused because of faults.
     pub refused_documents: IntCounter,
-    /// Documents that clashed with the one in force.
+    /// Documents with the revision in force but other content.
     pub clashes: IntGauge,
-    /// The revision in force.
+    /// The revision of the document in force.
     pub revision: IntGauge,
     /// The members in the view.
     pub members: IntGauge,
-    /// How often the process slept.
+    /// Pauses of the process.
     pub pauses: IntCounter,
 }
 
 impl Meter {
-    /// Makes the metrics and registers them.
+    /// Creates the metrics and registers them.
     pub(crate) fn new(registry: &Registry) -> Self {
         let counters = |name: &str, help: &str, label: &str| {
             let counters = IntCounterVec::new(Opts::new(name, help), &[label])
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! One run of a daemon as the fleet sees it.
+//! One run of a daemon: its membership, the document in force, and its control loops.
 
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::{self, Write as _};
@@ -25,25 +25,26 @@
 use crate::meter::Meter;
 use crate::{admin, control, platform, pulls};
 
-/// How many leaving searchers are remembered for members that wake up or start.
-const MOST_LEAVING: usize = 4096;
+/// The number of leaving searchers that are retained for members that start or were paused.
+const MAX_LEAVING: usize = 4096;
 
-/// How often a starting node tries to get a document.
-const RETRY: Duration = Duration::from_millis(200);
+/// The interval at which a starting node tries to obtain a document.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How many attempts to get a document share one line of the log.
-const ATTEMPTS_PER_LINE: u32 = 25;
+/// The number of attempts to obtain a document per log line.
+const ATTEMPTS_PER_LOG_LINE: u32 = 25;
 
-/// How long a farewell is given to reach peers before the sockets close.
-const FAREWELL: Duration = Duration::from_millis(50);
+/// How long a departure announcement has to reach peers before the next one, or before the sockets
+/// close.
+const DEPARTURE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many times a farewell is sent.
-const FAREWELLS: usize = 3;
+/// The number of times that a departure is announced.
+const DEPARTURE_ANNOUNCEMENTS: usize = 3;
 
-/// What a service does with the word that a run of a searcher is leaving.
+/// Called with a searcher that is leaving, and with its run if that is known.
 pub type LeavingSink = Box<dyn Fn(SocketAddr, Option<&Name>) + Send + Sync>;
 
-/// A part of the state dump: its title and what to write.
+/// Returns the text of one section of the state dump.
 pub type Dump = Box<dyn Fn() -> String + Send + Sync>;
 
 /// The document in force.
@@ -53,18 +54,19 @@
     pub document: Document,
 }
 
-/// What the control loop changes under one lock.
+/// State of the control loop, protected by one lock.
 #[derive(Debug)]
 pub(crate) struct Control {
     pub(crate) membership: Membership,
-    /// What members tell each other of requests under which searchers end.
+    /// Reports between members of requests under which searchers crash.
     pub(crate) suspicions: Suspicions,
     pub(crate) floor: Floor,
     pub(crate) rng: StdRng,
-    homes_of: (u64, u64),
+    /// The hashes of the document and the placement for which the homes were computed.
+    homes_key: (u64, u64),
 }
 
-/// One run of a daemon as the fleet sees it.
+/// One run of a daemon, as known to the other members.
 pub struct Node {
     settings: Arc<Settings>,
     me: Endpoint,
@@ -73,14 +75,18 @@
     pub(crate) control: Mutex<Control>,
     current: ArcSwapOption<Current>,
     homes: ArcSwap<Homes>,
-    changed: watch::Sender<u64>,
+    /// The number of changes of the document or the homes.
+    changes: watch::Sender<u64>,
     leaving: Mutex<BTreeMap<SocketAddr, Name>>,
+    /// The searchers that the last instance list marks as leaving.
     pub(crate) listed_leaving: Mutex<HashSet<SocketAddr>>,
     leaving_sink: OnceLock<LeavingSink>,
     pub(crate) awake: Awake,
     pub(crate) socket: UdpSocket,
-    pub(crate) refused: Mutex<HashSet<u64>>,
-    pub(crate) pulling: tokio::sync::Mutex<()>,
+    /// The hashes of document texts that were refused.
+    pub(crate) refused_hashes: Mutex<HashSet<u64>>,
+    /// Held during a pull of a later revision.
+    pub(crate) pull_lock: tokio::sync::Mutex<()>,
     pub(crate) stop: CancellationToken,
     tasks: Tasks,
     meter: Meter,
@@ -115,14 +121,14 @@
             quarantine,
             current: ArcSwapOption::empty(),
             homes: ArcSwap::default(),
-            changed: watch::Sender::new(0),
+            changes: watch::Sender::new(0),
             leaving: Mutex::default(),
             listed_leaving: Mutex::default(),
             leaving_sink: OnceLock::new(),
             awake: Awake::new(settings.control.pause),
             socket,
-            refused: Mutex::default(),
-            pulling: tokio::sync::Mutex::default(),
+            refused_hashes: Mutex::default(),
+            pull_lock: tokio::sync::Mutex::default(),
             tasks: Tasks::new(stop.clone()),
             stop,
             meter: Meter::new(&registry),
@@ -131,15 +137,15 @@
             settings,
         });
         node.tasks.spawn("control", control::run(Arc::clone(&node)));
-        node.tasks.spawn("pulse", control::pulse(Arc::clone(&node)));
+        node.tasks.spawn("pulse", control::detect_pauses(Arc::clone(&node)));
         node.tasks.spawn("pulls", pulls::serve(Arc::clone(&node), stream_listener));
         node.tasks.spawn("admin", admin::serve(Arc::clone(&node), admin_listener));
         log::info!("node: {me} started with incarnation {incarnation:x}.");
         Ok(node)
     }
 
-    /// Joins the fleet: reads the platform, asks peers, and returns once a document is
-    /// in force. Before that nothing may be served.
+    /// Joins the fleet by reading the platform and pulling from peers. Returns once a document is
+    /// in force; nothing may be served before.
     pub async fn join(self: &Arc<Self>) {
         platform::read_list(self).await;
         let mut attempt = 0;
@@ -148,62 +154,65 @@
             if self.current().is_some() {
                 break;
             }
-            if attempt % ATTEMPTS_PER_LINE == 0 {
-                log::warn!("node: No document yet; neither the platform nor a peer gave one.");
+            if attempt % ATTEMPTS_PER_LOG_LINE == 0 {
+                log::warn!(
+                    "node: No document yet; neither the platform nor a peer has provided one."
+                );
             }
             attempt += 1;
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(JOIN_RETRY_INTERVAL).await;
             platform::read_list(self).await;
         }
         self.tasks.spawn("list", platform::poll_list(Arc::clone(self)));
         self.tasks.spawn("document", platform::follow_document(Arc::clone(self)));
     }
 
-    /// Returns the tasks without which the daemon can't go on.
+    /// Returns the essential tasks of the daemon.
     pub fn tasks(&self) -> &Tasks {
         &self.tasks
     }
 
-    /// Says farewell: from now on nobody names this run or sends it new work.
+    /// Announces that this run is leaving or has left. From now on other members neither direct
+    /// callers to it nor send it new work.
     pub async fn leave(&self, state: State) {
-        log::info!("node: {} says farewell as {state}.", self.me);
-        for _ in 0..FAREWELLS {
+        log::info!("node: {} announces its departure in state {state}.", self.me);
+        for _ in 0..DEPARTURE_ANNOUNCEMENTS {
             let out = {
                 let mut control = self.lock();
                 let digest = control.digest();
                 control.membership.farewell(Instant::now(), state, digest)
             };
             self.transmit(out);
-            tokio::time::sleep(FAREWELL).await;
+            tokio::time::sleep(DEPARTURE_INTERVAL).await;
         }
     }
 
-    /// Stops the control loops for good.
+    /// Stops the control loops permanently.
     pub fn close(&self) {
         self.stop.cancel();
     }
 
-    /// Returns the settings.
+    /// Returns the settings of this process.
     pub fn settings(&self) -> &Arc<Settings> {
         &self.settings
     }
 
-    /// Returns the queries under which searchers ended, which all members share.
+    /// Returns the quarantine of queries under which searchers crashed, which all members share.
     pub fn quarantine(&self) -> &Arc<Quarantine> {
         &self.quarantine
     }
 
-    /// Returns where this daemon is found.
+    /// Returns the endpoint of this daemon.
     pub fn me(&self) -> Endpoint {
         self.me
     }
 
-    /// Returns the number of this run.
+    /// Returns the incarnation number of this run.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns the document in force.
+    /// Returns the document in force, or `None` before the first.
     pub fn current(&self) -> Option<Arc<Current>> {
         self.current.load_full()
     }
@@ -213,61 +222,64 @@
         self.homes.load_full()
     }
 
-    /// Returns a receiver that wakes when the document or the homes change.
+    /// Returns a receiver that is notified when the document or the homes change.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.changes.subscribe()
     }
 
-    /// Sets what is done, at once, with the word that a searcher is leaving.
+    /// Sets the handler that is called immediately when a searcher is reported as leaving.
     pub fn on_leaving(&self, sink: LeavingSink) {
         if self.leaving_sink.set(sink).is_err() {
-            log::error!("node: The sink for leaving searchers was set twice; the first stays.");
+            log::error!(
+                "node: The handler for leaving searchers is already set; keeping the first."
+            );
         }
     }
 
-    /// Tells the fleet that a searcher is leaving.
+    /// Reports to the fleet that a searcher is leaving.
     pub fn report_leaving(&self, searcher: SocketAddr, run: Name) {
-        self.remember_leaving(searcher, Name::clone(&run));
+        self.retain_leaving(searcher, Name::clone(&run));
         let rumour = Rumour::Leaving { searcher, run };
         self.lock().membership.spread(Instant::now(), rumour);
     }
 
-    /// Takes in the word that a searcher is leaving.
-    pub(crate) fn heard_leaving(&self, searcher: SocketAddr, run: Option<Name>) {
+    /// Handles a report that a searcher is leaving.
+    pub(crate) fn handle_leaving(&self, searcher: SocketAddr, run: Option<Name>) {
         if let Some(sink) = self.leaving_sink.get() {
             sink(searcher, run.as_ref());
         }
         if let Some(run) = run {
-            self.remember_leaving(searcher, run);
+            self.retain_leaving(searcher, run);
         }
     }
 
-    /// Remembers the word for members that start or wake up when the rumour is over.
-    fn remember_leaving(&self, searcher: SocketAddr, run: Name) {
+    /// Retains a report for members that start, or resume after a pause, when it is no longer
+    /// gossiped.
+    fn retain_leaving(&self, searcher: SocketAddr, run: Name) {
         let mut leaving = self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
         leaving.insert(searcher, run);
-        if leaving.len() > MOST_LEAVING {
+        if leaving.len() > MAX_LEAVING {
             leaving.pop_first();
         }
     }
 
-    /// Returns the searchers known to be leaving, with the runs that are.
+    /// Returns the searchers known to be leaving, each with its run.
     pub fn leaving(&self) -> Vec<(SocketAddr, Name)> {
         let leaving = self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
         leaving.iter().map(|(searcher, run)| (*searcher, Name::clone(run))).collect()
     }
 
-    /// Tells whether new work may be sent to an endpoint.
+    /// Returns whether new work may be sent to an endpoint.
     pub fn takes_work(&self, endpoint: Endpoint) -> bool {
         self.lock().membership.view().takes_work(endpoint)
     }
 
-    /// Runs a function on the view of the members.
+    /// Calls a function with the view of the members, under the lock.
     pub fn with_view<T>(&self, read: impl FnOnce(&View) -> T) -> T {
         read(self.lock().membership.view())
     }
 
-    /// Finds the entry of a run, or tells that the run is gone for good.
+    /// Returns the member record of a run; `None` means that the run has ended permanently.
     pub fn find_run(&self, incarnation: Incarnation) -> Option<Record> {
         self.lock()
             .membership
@@ -277,28 +289,30 @@
             .cloned()
     }
 
-    /// Tells whether new work may start right now.
+    /// Returns whether new work may start now.
     pub fn is_awake(&self) -> bool {
         self.awake.is_awake(Instant::now())
     }
 
-    /// Waits, shortly, until new work may start.
+    /// Waits for a short time until new work may start, and returns whether it may.
     pub async fn awake(&self) -> bool {
         self.awake.wait().await
     }
 
-    /// Catches up with a sender that has a higher revision, within a bound.
+    /// Catches up with a sender that has a higher revision, within `bound`. Returns whether that
+    /// revision or a later one is then in force.
     pub async fn catch_up_to(self: &Arc<Self>, revision: u64, bound: Duration) -> bool {
-        let ahead = || self.current().is_some_and(|current| current.document.revision >= revision);
-        if ahead() {
+        let caught_up =
+            || self.current().is_some_and(|current| current.document.revision >= revision);
+        if caught_up() {
             return true;
         }
-        // Whether in time or not, what counts is the document afterwards.
+        // Only the document in force afterwards matters, not whether the time was sufficient.
         let _ = tokio::time::timeout(bound, pulls::catch_up(self, false)).await;
-        ahead()
+        caught_up()
     }
 
-    /// Returns how much news this node still passes on.
+    /// Returns the number of rumours that this node still gossips.
     pub fn rumours(&self) -> usize {
         self.lock().membership.rumours()
     }
@@ -308,17 +322,17 @@
         &self.meter
     }
 
-    /// Returns the registry for more metrics.
+    /// Returns the registry, to which services add their metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Adds a part to the state dump.
+    /// Adds a section to the state dump.
     pub fn add_dump(&self, title: &'static str, dump: Dump) {
         self.dumps.lock().unwrap_or_else(PoisonError::into_inner).push((title, dump));
     }
 
-    /// Writes the state of the process as text.
+    /// Returns the state of the process as text.
     pub fn dump(&self) -> String {
         let mut text = format!("[node]\n{} incarnation {:x}\n", self.me, self.incarnation);
         if let Some(current) = self.current() {
@@ -336,8 +350,8 @@
         text
     }
 
-    /// Puts a checked document in force if it is newer, and tells peers.
-    pub(crate) fn adopt(&self, document: Document) -> Verdict {
+    /// Puts a valid document in force if it is newer, and announces it to peers.
+    pub(crate) fn apply_document(&self, document: Document) -> Verdict {
         let (revision, hash) = (document.revision, document.hash);
         let mut control = self.lock();
         let verdict = control.floor.adopt(revision, hash);
@@ -345,7 +359,7 @@
             Verdict::Newer => {
                 self.current.store(Some(Arc::new(Current { document })));
                 self.meter.revision.set(revision as i64);
-                control.homes_of = (0, 0);
+                control.homes_key = (0, 0);
                 self.refresh_homes(&mut control);
                 let digest = control.digest();
                 let out = control.membership.announce(digest);
@@ -356,31 +370,34 @@
             Verdict::Clash => {
                 self.meter.clashes.set(control.floor.clashes() as i64);
                 drop(control);
-                log::error!("config: Revision {revision} came with other content; ours stays.");
+                log::error!(
+                    "config: Revision {revision} came with other content; keeping the one in force."
+                );
             }
             Verdict::Same | Verdict::Older => {}
         }
         verdict
     }
 
-    /// Computes the homes anew where the members or the document have changed.
+    /// Recomputes the homes if the members or the document have changed.
     pub(crate) fn refresh_homes(&self, control: &mut Control) {
         self.meter.members.set(control.membership.view().len() as i64);
         let Some(current) = self.current() else {
             return;
         };
         let key = (current.document.hash, control.membership.view().places_hash());
-        if control.homes_of == key {
+        if control.homes_key == key {
             return;
         }
-        control.homes_of = key;
+        control.homes_key = key;
         let gathers = control.membership.view().placed(Role::Gather);
         let homes = Homes::compute(&current.document.layout, current.document.regions(), gathers);
         self.homes.store(Arc::new(homes));
-        self.changed.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Sends datagrams; what the socket does not take at once is lost, as on any network.
+    /// Sends datagrams. A datagram that the socket does not accept immediately is dropped, as any
+    /// network may drop it.
     pub(crate) fn transmit(&self, out: Vec<Outgoing>) {
         for outgoing in out {
             let bytes = bergamot_wire::encode(outgoing.datagram);
@@ -399,7 +416,7 @@
 }
 
 impl Control {
-    /// Returns what is in force, as peers are told.
+    /// Returns the digest of the state in force, as sent to peers.
     pub(crate) fn digest(&self) -> Digest {
         let (revision, hash) = (self.floor.revision(), self.floor.hash());
         Digest { revision, hash, suspicions: self.suspicions.hash(), ..Digest::default() }
@@ -421,19 +438,19 @@
             suspicion: settings.control.suspicion,
         };
         let seed = Seed(incarnation);
-        // The platform's list takes the place of seeds.
+        // Members are discovered through the platform's instance list, not through seeds.
         let seeds = Vec::new();
         Self {
             membership: Membership::new(now, timing, me, seeds, seed.generator("membership")),
             suspicions: Suspicions::new(Arc::clone(quarantine)),
             floor: Floor::default(),
             rng: seed.generator("node"),
-            homes_of: (0, 0),
+            homes_key: (0, 0),
         }
     }
 }
 
-/// Returns where the control sockets of an endpoint listen.
+/// Returns the address of an endpoint's control sockets.
 pub(crate) fn control_address(settings: &Settings, endpoint: Endpoint) -> SocketAddr {
     let port = match endpoint.role {
         Role::Entry => settings.ports.entry_control,
@@ -450,10 +467,10 @@
     SocketAddr::from((endpoint.ip, port))
 }
 
-/// Makes the number of a run: the time in milliseconds, so that later runs at one
-/// address override earlier ones, then random bits, so that no two runs are alike.
+/// Creates an incarnation number: the time in milliseconds, so that later runs at an address
+/// override earlier ones, followed by random bits, so that no two runs have the same number.
 fn new_incarnation() -> Incarnation {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let random: u16 = rand::rng().random();
-    (since.as_millis() as u64) << 16 | u64::from(random)
+    (since_epoch.as_millis() as u64) << 16 | u64::from(random)
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,10 +1,10 @@
-//! Reading the platform: the configuration service and the instance list.
+//! Clients of the platform: the configuration service and the instance list.
 //!
-//! The service answers about two thousand reads a second over all readers. A few
-//! members of each zone hold a watch; every member reads directly at a rate that
-//! shrinks with the fleet, so that a partition heals from either side; everything else
-//! comes from peers. Invariant: the reads of the whole fleet stay below
-//! `readers * (1 / WATCH + changes) + DIRECT_READS` a second, whatever its size.
+//! The configuration service handles about two thousand reads a second in total. A few members of
+//! each zone, the readers, hold a watch. Every member reads directly at a rate that decreases with
+//! the size of the fleet, so that a partition heals from either side. All other updates come from
+//! peers. Invariant: the reads of the whole fleet stay below
+//! `readers * (1 / WATCH_WAIT + changes) + DIRECT_READS_PER_SECOND` a second, whatever its size.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -22,24 +22,24 @@
 use crate::node::Node;
 use crate::pulls;
 
-/// How long one watch waits at the service.
-const WATCH: Duration = Duration::from_secs(20);
+/// How long one watch waits at the service for a change.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// Direct reads a second over the whole fleet.
-const DIRECT_READS: u32 = 10;
+/// The limit on direct reads of the document by the whole fleet.
+const DIRECT_READS_PER_SECOND: u32 = 10;
 
-/// Reads of the instance list a second over the whole fleet.
-const LIST_READS: u32 = 50;
+/// The limit on reads of the instance list by the whole fleet.
+const LIST_READS_PER_SECOND: u32 = 50;
 
-/// How long a reader waits after a failed watch.
-const BACKOFF: Duration = Duration::from_millis(500);
+/// How long a reader waits after a watch that failed or returned no applicable document.
+const WATCH_BACKOFF: Duration = Duration::from_millis(500);
 
-/// How often a member that is no reader looks whether it has become one.
-const RERANK: Duration = Duration::from_millis(500);
+/// The interval at which a member that is not a reader checks whether it has become one.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// An entry of the instance list.
 #[derive(Debug, Deserialize)]
-struct Item {
+struct ListEntry {
     address: String,
     zone: Name,
     state: Name,
@@ -49,15 +49,15 @@
 pub(crate) async fn read_document(node: &Arc<Node>) {
     let settings = node.settings();
     let timeout = settings.platform.timeout;
-    if let Some(reply) = read(node, "document", "/v1/document", timeout).await {
-        take_document(node, &reply);
+    if let Some(reply) = fetch_resource(node, "document", "/v1/document", timeout).await {
+        handle_document_reply(node, &reply);
     }
 }
 
-/// Watches the document while this member is a reader, else reads it now and then.
+/// Watches the document while this member is a reader; otherwise reads it periodically.
 pub(crate) async fn follow_document(node: Arc<Node>) {
     let mut idle = Duration::ZERO;
-    let mut direct = direct_interval(&node);
+    let mut read_interval = direct_read_interval(&node);
     while !node.stop.is_cancelled() {
         if is_reader(&node) {
             watch_once(&node).await;
@@ -65,22 +65,23 @@
         }
         tokio::select! {
             () = node.stop.cancelled() => return,
-            () = tokio::time::sleep(RERANK) => idle += RERANK,
+            () = tokio::time::sleep(READER_CHECK_INTERVAL) => idle += READER_CHECK_INTERVAL,
         }
-        if idle >= direct {
+        if idle >= read_interval {
             read_document(&node).await;
             idle = Duration::ZERO;
-            direct = direct_interval(&node);
+            read_interval = direct_read_interval(&node);
         }
     }
 }
 
-/// Reads the instance list now and then.
+/// Reads the instance list periodically.
 pub(crate) async fn poll_list(node: Arc<Node>) {
     loop {
         let members = node.with_view(bergamot_members::View::len) as u32;
-        let shortest = node.settings().platform.poll;
-        let interval = jitter(&node, shortest.max(Duration::from_secs(1) * members / LIST_READS));
+        let minimum = node.settings().platform.poll;
+        let interval =
+            jitter(&node, minimum.max(Duration::from_secs(1) * members / LIST_READS_PER_SECOND));
         tokio::select! {
             () = node.stop.cancelled() => return,
             () = tokio::time::sleep(interval) => read_list(&node).await,
@@ -91,78 +92,79 @@
 /// Reads the instance list once.
 pub(crate) async fn read_list(node: &Arc<Node>) {
     let timeout = node.settings().platform.timeout;
-    let Some(reply) = read(node, "instances", "/v1/instances", timeout).await else {
+    let Some(reply) = fetch_resource(node, "instances", "/v1/instances", timeout).await else {
         return;
     };
-    match serde_json::from_slice::<Vec<Item>>(reply.body()) {
-        Ok(items) => take_list(node, &items),
+    match serde_json::from_slice::<Vec<ListEntry>>(reply.body()) {
+        Ok(entries) => apply_list(node, &entries),
         Err(error) => {
             node.meter().platform_failures.with_label_values(&["instances"]).inc();
-            log::warn!("node: The instance list can't be read: {error}.");
+            log::warn!("node: Cannot parse the instance list: {error}.");
         }
     }
 }
 
-/// Takes in the list: instances by IP number, searchers by IP number and port.
-fn take_list(node: &Node, items: &[Item]) {
+/// Applies the list. Entries with an IP address are instances; those with an address and a port
+/// are searchers.
+fn apply_list(node: &Node, entries: &[ListEntry]) {
     let mut instances = Vec::new();
     let mut listed_leaving = HashSet::new();
-    for item in items {
-        let leaving = &*item.state == "leaving";
-        if let Ok(ip) = item.address.parse() {
-            instances.push(Listed { ip, zone: Name::clone(&item.zone), leaving });
-        } else if let Ok(searcher) = item.address.parse::<SocketAddr>() {
+    for entry in entries {
+        let leaving = &*entry.state == "leaving";
+        if let Ok(ip) = entry.address.parse() {
+            instances.push(Listed { ip, zone: Name::clone(&entry.zone), leaving });
+        } else if let Ok(searcher) = entry.address.parse::<SocketAddr>() {
             if leaving {
                 listed_leaving.insert(searcher);
             }
         } else {
-            log::warn!("node: The instance list names {}, which is no address.", item.address);
+            log::warn!("node: The instance list contains {}, not an address.", entry.address);
         }
     }
-    hear_listed(node, listed_leaving);
+    apply_listed_leaving(node, listed_leaving);
     let mut control = node.lock();
     control.membership.apply_list(Instant::now(), &instances);
     node.refresh_homes(&mut control);
 }
 
-/// Takes in the searchers that the list says are leaving and did not say so before.
+/// Reports the searchers that are listed as leaving and were not in the previous list.
 ///
-/// The list names no run. Said again, it may mean a run that is long gone, and must not
-/// touch the one that took its place.
-fn hear_listed(node: &Node, listed: HashSet<SocketAddr>) {
-    let mut before = node.listed_leaving.lock().unwrap_or_else(PoisonError::into_inner);
-    for searcher in listed.difference(&before) {
-        node.heard_leaving(*searcher, None);
+/// The list does not identify the run of a searcher. A repeated entry may refer to a run that
+/// ended long ago, and must not affect the run that replaced it.
+fn apply_listed_leaving(node: &Node, listed: HashSet<SocketAddr>) {
+    let mut previous = node.listed_leaving.lock().unwrap_or_else(PoisonError::into_inner);
+    for searcher in listed.difference(&previous) {
+        node.handle_leaving(*searcher, None);
     }
-    *before = listed;
+    *previous = listed;
 }
 
 async fn watch_once(node: &Arc<Node>) {
     let after = node.current().map_or(0, |current| current.document.revision);
-    let path = format!("/v1/watch?after={after}&wait_ms={}", WATCH.as_millis());
-    let timeout = WATCH + node.settings().platform.timeout;
+    let path = format!("/v1/watch?after={after}&wait_ms={}", WATCH_WAIT.as_millis());
+    let timeout = WATCH_WAIT + node.settings().platform.timeout;
     let reply = tokio::select! {
         () = node.stop.cancelled() => return,
-        reply = read(node, "document", &path, timeout) => reply,
+        reply = fetch_resource(node, "document", &path, timeout) => reply,
     };
     match reply {
         Some(reply) if reply.status() == StatusCode::OK => {
-            take_document(node, &reply);
-            // What was not put in force is offered again at once: don't ask at once.
-            let now = node.current().map_or(0, |current| current.document.revision);
-            if now == after {
-                tokio::time::sleep(jitter(node, BACKOFF)).await;
+            handle_document_reply(node, &reply);
+            // If the document was not put in force, the next watch would return it again at once.
+            let in_force = node.current().map_or(0, |current| current.document.revision);
+            if in_force == after {
+                tokio::time::sleep(jitter(node, WATCH_BACKOFF)).await;
             }
         }
         Some(_unchanged) => {}
-        None => tokio::time::sleep(jitter(node, BACKOFF)).await,
+        None => tokio::time::sleep(jitter(node, WATCH_BACKOFF)).await,
     }
 }
 
-/// Takes in a document. One that was refused before is not parsed again.
-fn take_document(node: &Node, reply: &Reply) {
+/// Parses and applies a document, unless the same content was refused before.
+fn handle_document_reply(node: &Node, reply: &Reply) {
     let hash = hash_bytes(reply.body());
-    let refused = || node.refused.lock().unwrap_or_else(PoisonError::into_inner);
+    let refused = || node.refused_hashes.lock().unwrap_or_else(PoisonError::into_inner);
     if refused().contains(&hash) {
         return;
     }
@@ -170,10 +172,11 @@
     if parsed.is_err() {
         refused().insert(hash);
     }
-    pulls::offer(node, parsed, node.settings().platform.configuration);
+    pulls::handle_document(node, parsed, node.settings().platform.configuration);
 }
 
-async fn read(
+/// Reads a resource of the platform; failures are counted and logged.
+async fn fetch_resource(
     node: &Arc<Node>,
     what: &'static str,
     path: &str,
@@ -191,7 +194,7 @@
         Err(fault) => fault.to_string(),
     };
     node.meter().platform_failures.with_label_values(&[what]).inc();
-    log::debug!("node: Reading the platform's {what} failed: {cause}.");
+    log::debug!("node: Cannot read the {what} from the platform: {cause}.");
     None
 }
 
@@ -200,13 +203,13 @@
     node.with_view(|view| readers(view, per_zone)).contains(&node.me())
 }
 
-fn direct_interval(node: &Node) -> Duration {
+fn direct_read_interval(node: &Node) -> Duration {
     let members = node.with_view(bergamot_members::View::len) as u32;
-    let shortest = node.settings().control.direct;
-    jitter(node, shortest.max(Duration::from_secs(1) * members / DIRECT_READS))
+    let minimum = node.settings().control.direct;
+    jitter(node, minimum.max(Duration::from_secs(1) * members / DIRECT_READS_PER_SECOND))
 }
 
-/// Spreads a period over half to one and a half of itself.
+/// Returns a random duration between half and one and a half times the period.
 fn jitter(node: &Node, period: Duration) -> Duration {
     period.mul_f64(node.lock().rng.random_range(0.5..1.5))
 }
--- a/crates/node/src/pulls.rs
+++ b/crates/node/src/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulling documents and views from peers, and answering their pulls.
+//! Pulls of documents and views from peers, and responses to the pulls of peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,25 +14,24 @@
 use crate::node::{Node, control_address};
 use crate::platform;
 
-/// How many peers are asked when a node starts or wakes.
-const PEERS: usize = 3;
+/// The number of peers from which a node pulls when it starts or catches up.
+const CATCH_UP_PEERS: usize = 3;
 
-/// How long one pull may take.
-const TIMEOUT: Duration = Duration::from_millis(1500);
+const PULL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// One datagram in so many that shows another view leads to an exchange with its sender.
+/// One in this many datagrams whose view differs from ours leads to an exchange with the sender.
 ///
-/// Views are compared by datagrams; but members that were apart may also have missed the word
-/// that a searcher is leaving, and only an exchange brings that.
-const VIEW_EXCHANGE: u32 = 64;
+/// Views are reconciled by datagrams. However, members that could not reach each other may also
+/// have missed notices of leaving searchers, which only an exchange transfers.
+const VIEW_EXCHANGE_RATIO: u32 = 64;
 
-/// Answers pulls until the node closes.
+/// Serves pulls of peers until the node closes.
 pub(crate) async fn serve(node: Arc<Node>, listener: TcpListener) {
     let stop = node.stop.clone();
-    serve_pulls(listener, stop, move |request| answer(&node, &request)).await;
+    serve_pulls(listener, stop, move |request| respond(&node, &request)).await;
 }
 
-fn answer(node: &Node, request: &Pull) -> Bundle {
+fn respond(node: &Node, request: &Pull) -> Bundle {
     let parcel = node
         .current()
         .filter(|current| current.document.revision > request.revision)
@@ -48,15 +47,17 @@
     Bundle { parcel, view, leaving: node.leaving() }
 }
 
-/// Compares what a peer has in force with ours and pulls what we lack.
-pub(crate) fn compare(node: &Arc<Node>, datagram: &Datagram, ours: Digest) {
+/// Compares a peer's digest with ours, and pulls from the peer if it has a later revision.
+///
+/// A peer with another view is pulled from with a probability of 1 in [`VIEW_EXCHANGE_RATIO`].
+pub(crate) fn compare_digests(node: &Arc<Node>, datagram: &Datagram, ours: Digest) {
     let theirs = datagram.digest;
     let from = datagram.from.endpoint;
     if theirs.revision > ours.revision {
         let node = Arc::clone(node);
         tokio::spawn(async move {
-            // One pull at a time: a second one would fetch the same document.
-            let Ok(_one) = node.pulling.try_lock() else {
+            // One pull at a time, because a second one would fetch the same document.
+            let Ok(_guard) = node.pull_lock.try_lock() else {
                 return;
             };
             exchange(&node, from, false).await;
@@ -65,33 +66,34 @@
         node.meter().clashes.set(1);
         log::error!("config: {from} has revision {} with other content.", theirs.revision);
     } else if theirs.view != ours.view {
-        let drawn = node.lock().rng.random_ratio(1, VIEW_EXCHANGE);
-        if drawn {
+        let selected = node.lock().rng.random_ratio(1, VIEW_EXCHANGE_RATIO);
+        if selected {
             let node = Arc::clone(node);
             tokio::spawn(async move { exchange(&node, from, true).await });
         }
     }
 }
 
-/// Asks the platform and several peers at once and takes the highest revision.
+/// Pulls from several peers, and if requested reads the platform, all concurrently; the highest
+/// revision takes effect.
 pub(crate) async fn catch_up(node: &Arc<Node>, with_platform: bool) {
     let peers = {
         let mut control = node.lock();
-        control.membership.peers(PEERS)
+        control.membership.peers(CATCH_UP_PEERS)
     };
-    let mut asked = tokio::task::JoinSet::new();
+    let mut pulls = tokio::task::JoinSet::new();
     for peer in peers {
         let node = Arc::clone(node);
-        asked.spawn(async move { exchange(&node, peer, true).await });
+        pulls.spawn(async move { exchange(&node, peer, true).await });
     }
     if with_platform {
         let node = Arc::clone(node);
-        asked.spawn(async move { platform::read_document(&node).await });
+        pulls.spawn(async move { platform::read_document(&node).await });
     }
-    asked.join_all().await;
+    pulls.join_all().await;
 }
 
-/// Makes one exchange with a peer; failures are counted and otherwise harmless.
+/// Performs one exchange with a peer. Failures are counted and have no other effect.
 async fn exchange(node: &Arc<Node>, peer: Endpoint, with_view: bool) {
     let address = control_address(node.settings(), peer);
     let result = match try_exchange(node, address, with_view).await {
@@ -115,7 +117,7 @@
         view,
     };
     let local = node.settings().instance.address;
-    let (bundle, bytes) = pull(local, peer, &request, TIMEOUT).await?;
+    let (bundle, bytes) = pull(local, peer, &request, PULL_TIMEOUT).await?;
     node.meter().pull_bytes.inc_by(bytes as u64);
     if with_view {
         let mut control = node.lock();
@@ -123,22 +125,25 @@
         node.refresh_homes(&mut control);
     }
     for (searcher, run) in bundle.leaving {
-        node.heard_leaving(searcher, Some(run));
+        node.handle_leaving(searcher, Some(run));
     }
     if let Some(parcel) = bundle.parcel {
         let held = current.as_ref().map(|current| &current.document);
-        offer(node, parcel.assemble(held), peer);
+        handle_document(node, parcel.assemble(held), peer);
     }
     Ok(())
 }
 
-/// Puts a document in force if it is whole and newer; refuses it whole otherwise.
-pub(crate) fn offer(node: &Node, checked: Result<Document, Refusal>, from: SocketAddr) {
-    match checked {
+/// Puts a document in force if it is valid and newer than the present one. An invalid document is
+/// refused as a whole.
+pub(crate) fn handle_document(node: &Node, parsed: Result<Document, Refusal>, from: SocketAddr) {
+    match parsed {
         Ok(document) => {
             let revision = document.revision;
-            if node.adopt(document) == Verdict::Older {
-                log::debug!("config: {from} gave revision {revision}, which is older than ours.");
+            if node.apply_document(document) == Verdict::Older {
+                log::debug!(
+                    "config: Ignored revision {revision} from {from}; a later one is in force."
+                );
             }
         }
         Err(refusal) => {
--- a/crates/node/src/signal.rs
+++ b/crates/node/src/signal.rs
@@ -1,17 +1,19 @@
-//! Stop signals: the first asks for a graceful shutdown, `SIGINT` after it for haste.
+//! Stop signals: the first requests a graceful shutdown, a later `SIGINT` an immediate one.
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How a process was asked to stop.
+/// The kind of stop that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// Finish what is in flight.
+    /// Complete the requests in flight before exiting.
     Graceful,
-    /// End now; requests in flight are cut because the operator asks for it.
+    /// Exit immediately and abort the requests in flight, as the operator demands.
     Now,
 }
 
-/// Waits for a stop signal. `SIGTERM` is always graceful, however often it comes.
+/// Waits for a stop signal; `draining` states whether a graceful stop is already in progress.
+///
+/// `SIGTERM` always requests a graceful stop, however often it is sent.
 pub async fn stop_signal(draining: bool) -> std::io::Result<Stop> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -21,7 +23,7 @@
                 if !draining {
                     return Ok(Stop::Graceful);
                 }
-                log::info!("node: Already draining; send SIGINT to cut requests in flight.");
+                log::info!("node: Already draining; send SIGINT to abort requests in flight.");
             }
             _ = interrupt.recv() => {
                 return Ok(if draining { Stop::Now } else { Stop::Graceful });
