--- a/crates/front/src/caller.rs
+++ b/crates/front/src/caller.rs
@@ -11,20 +11,20 @@
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode, Uri};
 
-use crate::face::Face;
+use crate::protocol::CallerProtocol;
 
 /// The limit on request bodies before a declaration is in force, in bytes.
 const DEFAULT_BODY_LIMIT: usize = 1 << 20;
 
 pub(crate) async fn handle_request(
     relay: Arc<Relay>,
-    face: Face,
+    protocol: CallerProtocol,
     request: hyper::Request<Incoming>,
 ) -> Response<Body> {
     let received = Instant::now();
     let (mut parts, body) = request.into_parts();
     let host = host(&parts);
-    let head = match (face.read)(&mut parts) {
+    let head = match (protocol.parse_request)(&mut parts) {
         Ok(head) => head,
         Err(cause) => return reject(StatusCode::BAD_REQUEST, cause),
     };
@@ -48,7 +48,7 @@
         deadline: head.deadline,
         received,
     };
-    (face.write)(relay.handle(request).await)
+    (protocol.encode_reply)(relay.handle(request).await)
 }
 
 /// Returns the host that a request names in its header or else in its URI.
--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -32,8 +32,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::caller;
-use crate::face::Face;
 use crate::member;
+use crate::protocol::CallerProtocol;
 use crate::settings::Settings;
 
 /// The interval of the periodic work: members are counted, and searchers whose entries are missing
@@ -46,7 +46,7 @@
 /// State shared by the request handlers and the background tasks.
 struct Inner {
     settings: Settings,
-    face: Face,
+    protocol: CallerProtocol,
     relay: Arc<Relay>,
     peers: Arc<Peers>,
     feed: Arc<FeedState>,
@@ -74,7 +74,7 @@
     /// Binds the listeners and starts to follow the store.
     pub async fn start(
         settings: Settings,
-        face: Face,
+        protocol: CallerProtocol,
         dialect: Dialect,
         relay: bergamot_relay::Settings,
         peers: bergamot_peers::Settings,
@@ -93,7 +93,7 @@
         let peers = Peers::start(peers, quarantine, &tasks, stop.clone()).await?;
         let inner = Arc::new(Inner {
             settings,
-            face,
+            protocol,
             relay,
             peers,
             feed: Arc::clone(&feed),
@@ -111,9 +111,9 @@
             fetch_record: Box::new(member::record_query(&channels, port)),
         };
         let startup_wait = if inner.peers.seeds().contains(&inner.relay.settings().address) {
-            inner.settings.join
+            inner.settings.seed_startup_wait
         } else {
-            inner.settings.settle
+            inner.settings.startup_wait
         };
         let feed_settings = bergamot_feed::Settings { startup_wait, ..Default::default() };
         tasks.spawn("follower", follow(source, members, sink, feed, feed_settings, stop.clone()));
@@ -128,7 +128,7 @@
             let inner = Arc::clone(&for_callers);
             async move {
                 let relay = Arc::clone(&inner.relay);
-                let mut response = caller::handle_request(relay, inner.face, request).await;
+                let mut response = caller::handle_request(relay, inner.protocol, request).await;
                 if inner.is_leaving() {
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -155,8 +155,9 @@
     /// time for the stop is over.
     pub async fn stop(self) {
         let settings = &self.inner.settings;
-        let (close_at, end) = (Instant::now() + settings.linger, Instant::now() + settings.stop);
-        log::info!("front: event=leaving linger_ms={}", settings.linger.as_millis());
+        let (close_at, end) =
+            (Instant::now() + settings.drain_period, Instant::now() + settings.stop_timeout);
+        log::info!("front: event=leaving linger_ms={}", settings.drain_period.as_millis());
         self.inner.leaving.store(true, Ordering::Relaxed);
         self.inner.peers.announce_leaving();
         sleep_until(close_at).await;
@@ -210,7 +211,7 @@
     }
 
     fn readiness(&self, uri: &Uri) -> Response<Body> {
-        if !(self.face.asks_ready)(uri) {
+        if !(self.protocol.is_readiness_probe)(uri) {
             return text(StatusCode::NOT_FOUND, "no such question");
         }
         let status = if self.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -218,16 +219,16 @@
     }
 
     fn directory(&self, uri: &Uri) -> Response<Body> {
-        let Some(origin) = (self.face.origin)(uri) else {
+        let Some(location) = (self.protocol.parse_address_query)(uri) else {
             return text(StatusCode::NOT_FOUND, "no such question");
         };
-        let caller = Caller { zone: &origin.zone, region: &origin.region };
+        let caller = Caller { zone: &location.zone, region: &location.region };
         let addresses =
             select_instances(caller, &self.ready_instances(), &self.relay.coverage().regions);
         if addresses.is_empty() {
             return text(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
         }
-        (self.face.addresses)(&addresses, self.settings.ttl)
+        (self.protocol.encode_addresses)(&addresses, self.settings.ttl)
     }
 
     /// Returns the roles by which members distribute the store's updates, or `None` while they
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! A [`Daemon`] connects membership, the feed and the relay to its listeners: one for callers'
 //! requests, one for readiness probes, one for address queries, one for metrics and one for other
-//! members. The HTTP conventions of callers are passed in as a [`Face`]. See
+//! members. The HTTP conventions of callers are passed in as a [`CallerProtocol`]. See
 //! `docs/design/0009-platform.md`.
 
 mod caller;
 mod daemon;
-mod face;
 mod member;
+mod protocol;
 mod settings;
 
 pub use daemon::Daemon;
-pub use face::{Face, Head, Origin};
+pub use protocol::{CallerLocation, CallerProtocol, RequestHead};
 pub use settings::Settings;
--- a/crates/front/src/face.rs
+++ b/crates/front/src/protocol.rs
@@ -11,7 +11,7 @@
 
 /// Metadata from the head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct RequestHead {
     /// The request identifier, as chosen by the caller.
     pub id: HeaderValue,
     /// How long the caller waits for the response, if the request states it.
@@ -20,7 +20,7 @@
 
 /// The location of a caller that queries addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Origin {
+pub struct CallerLocation {
     /// The availability zone.
     pub zone: String,
     /// The region.
@@ -29,17 +29,17 @@
 
 /// The HTTP conventions of one kind of caller, as functions on requests and responses.
 #[derive(Clone, Copy, Debug)]
-pub struct Face {
+pub struct CallerProtocol {
     /// Reads the request metadata and removes the headers that are not forwarded.
     ///
     /// An error is the reason why the request is rejected.
-    pub read: fn(&mut Parts) -> Result<Head, &'static str>,
+    pub parse_request: fn(&mut Parts) -> Result<RequestHead, &'static str>,
     /// Encodes the outcome of a request.
-    pub write: fn(Reply) -> Response<Body>,
+    pub encode_reply: fn(Reply) -> Response<Body>,
     /// Reads the caller's location from an address query; `None` for any other URI.
-    pub origin: fn(&Uri) -> Option<Origin>,
+    pub parse_address_query: fn(&Uri) -> Option<CallerLocation>,
     /// Encodes the response to an address query: the addresses and how long they may be cached.
-    pub addresses: fn(&[SocketAddr], Duration) -> Response<Body>,
+    pub encode_addresses: fn(&[SocketAddr], Duration) -> Response<Body>,
     /// Returns whether a URI is that of the readiness probe.
-    pub asks_ready: fn(&Uri) -> bool,
+    pub is_readiness_probe: fn(&Uri) -> bool,
 }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -18,9 +18,9 @@
     /// instance.
     pub members: SocketAddr,
     /// How long a seed waits for other members at startup before it reads the store itself.
-    pub join: Duration,
+    pub seed_startup_wait: Duration,
     /// How long any other member waits at startup to learn which members read the store.
-    pub settle: Duration,
+    pub startup_wait: Duration,
     /// How long callers may cache the response to an address query.
     ///
     /// A caller whose cached response has expired queries again before its next request, which
@@ -29,10 +29,10 @@
     pub ttl: Duration,
     /// How long a planned stop continues to accept requests, so that callers with a cached
     /// address response are served: the TTL of such a response plus a margin.
-    pub linger: Duration,
+    pub drain_period: Duration,
     /// The time from the stop signal after which a planned stop ends, even if requests are still
     /// in flight.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
 }
 
 impl Default for Settings {
@@ -45,13 +45,13 @@
             metrics: local(7403),
             members: local(7401),
             // Twice the duration of an exchange with a seed in another region.
-            join: Duration::from_millis(60),
+            seed_startup_wait: Duration::from_millis(60),
             // The time after which a member that has heard from no other considers itself the only
             // one.
-            settle: Duration::from_millis(1200),
+            startup_wait: Duration::from_millis(1200),
             ttl: Duration::from_secs(4),
-            linger: Duration::from_millis(4300),
-            stop: Duration::from_millis(5600),
+            drain_period: Duration::from_millis(4300),
+            stop_timeout: Duration::from_millis(5600),
         }
     }
 }
