--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -12,7 +12,7 @@
 
 use bergamot_base::{Budget, Cell, Deadline, Name, Service, Shard, Version};
 use bergamot_members::{Endpoint, Role};
-use bergamot_node::{Current, Node};
+use bergamot_node::{ActiveDocument, Node};
 use bergamot_query::{Catalog, Coverage, Hit, Merge, Outcome, Reason, Shape};
 use bergamot_wire::{Channels, GatherClient, Refusal, Reply, SubQuery, context};
 use futures::StreamExt;
@@ -94,7 +94,11 @@
     /// Executes a query and returns its best result before the deadline.
     ///
     /// Returns `None` if no version of the service is known, so that nothing can be queried.
-    pub(crate) async fn run(&self, query: &Query, current: Arc<Current>) -> Option<QueryResult> {
+    pub(crate) async fn run(
+        &self,
+        query: &Query,
+        current: Arc<ActiveDocument>,
+    ) -> Option<QueryResult> {
         let mut current = current;
         let mut service = query.service;
         let mut attempts = 0;
@@ -139,18 +143,23 @@
     /// Finds a service of an earlier document by name in the document that is now in force.
     fn find_in_current_document(
         &self,
-        previous: &Current,
+        previous: &ActiveDocument,
         service: Service,
-    ) -> Option<(Arc<Current>, Service)> {
+    ) -> Option<(Arc<ActiveDocument>, Service)> {
         let row = &previous.document.services[service];
         let workspace = &previous.document.workspaces[row.workspace].name;
-        let current = self.node.current()?;
+        let current = self.node.active_document()?;
         let found = current.document.service(workspace, &row.name)?;
         Some((current, found))
     }
 
     /// Returns the version to pin; asks the gathers if none is known yet.
-    async fn version(&self, query: &Query, service: Service, current: &Current) -> Option<Version> {
+    async fn version(
+        &self,
+        query: &Query,
+        service: Service,
+        current: &ActiveDocument,
+    ) -> Option<Version> {
         let shards = query.shape.shards(&current.document.services[service]);
         if let Some(version) = self.known_version(current, &shards) {
             return Some(version);
@@ -167,7 +176,7 @@
         None
     }
 
-    fn known_version(&self, current: &Current, shards: &[Shard]) -> Option<Version> {
+    fn known_version(&self, current: &ActiveDocument, shards: &[Shard]) -> Option<Version> {
         let mut catalog = lock(&self.catalog);
         if catalog.0 != current.document.hash {
             *catalog = (current.document.hash, Catalog::default());
@@ -175,7 +184,7 @@
         catalog.1.best_version(shards)
     }
 
-    fn record_versions(&self, current: &Current, versions: Vec<(Shard, Vec<Version>)>) {
+    fn record_versions(&self, current: &ActiveDocument, versions: Vec<(Shard, Vec<Version>)>) {
         let mut catalog = lock(&self.catalog);
         if catalog.0 == current.document.hash {
             for (shard, shard_versions) in
@@ -187,7 +196,7 @@
     }
 
     /// Asks one home of each of the service's cells for the versions that its shards can serve.
-    async fn fetch_versions(&self, current: &Current, service: Service, deadline: Deadline) {
+    async fn fetch_versions(&self, current: &ActiveDocument, service: Service, deadline: Deadline) {
         let document = &current.document;
         let homes = self.node.homes();
         let mut cells: Vec<Cell> = document.services[service]
--- a/crates/front/src/caller.rs
+++ b/crates/front/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to its answer.
+//! Handling of one caller's request: read, hand over to the relay, encode the reply.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,25 +11,25 @@
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode, Uri};
 
-use crate::face::Face;
+use crate::protocol::CallerProtocol;
 
-/// The largest body that is read before a declaration sets the limit, in bytes.
-const ASSUMED_BODY: usize = 1 << 20;
+/// The limit on request bodies before a declaration is in force, in bytes.
+const DEFAULT_BODY_LIMIT: usize = 1 << 20;
 
-/// Answers a caller's request.
-pub(crate) async fn answer(
+pub(crate) async fn handle_request(
     relay: Arc<Relay>,
-    face: Face,
+    protocol: CallerProtocol,
     request: hyper::Request<Incoming>,
 ) -> Response<Body> {
     let received = Instant::now();
     let (mut parts, body) = request.into_parts();
     let host = host(&parts);
-    let head = match (face.read)(&mut parts) {
+    let head = match (protocol.parse_request)(&mut parts) {
         Ok(head) => head,
         Err(cause) => return reject(StatusCode::BAD_REQUEST, cause),
     };
-    let limit = relay.declaration().map_or(ASSUMED_BODY, |declared| declared.limits.body_bytes);
+    let limit =
+        relay.declaration().map_or(DEFAULT_BODY_LIMIT, |declaration| declaration.limits.body_bytes);
     let body = match read_body(hyper::Request::new(body), limit).await {
         Ok(body) => body,
         Err(Rejection::TooLarge) => {
@@ -48,15 +48,16 @@
         deadline: head.deadline,
         received,
     };
-    (face.write)(relay.handle(request).await)
+    (protocol.encode_reply)(relay.handle(request).await)
 }
 
+/// Returns the host that a request names in its header or else in its URI.
 fn host(parts: &Parts) -> Name {
-    let named = parts.headers.get(HOST).and_then(|value| value.to_str().ok());
-    Name::from(named.or(parts.uri.host()).unwrap_or_default())
+    let header = parts.headers.get(HOST).and_then(|value| value.to_str().ok());
+    Name::from(header.or(parts.uri.host()).unwrap_or_default())
 }
 
-/// Returns the path and query alone, which is what a searcher is asked for.
+/// Returns the path and query without scheme and authority, as sent to a searcher.
 fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query().map_or_else(Uri::default, |path| Uri::from(path.clone()))
 }
