--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,8 +1,8 @@
-//! The configuration document: parsed, verified and indexed.
+//! Parsing, validation and indexing of the configuration document.
 //!
-//! Parsing walks the whole input and collects every fault; a document with any
-//! fault is refused whole. Invariant: a [`Document`] that exists is valid, and its
-//! tables refer to each other only by entities that are in range.
+//! Parsing traverses the whole input and collects every error; a document with any
+//! error is rejected as a whole. Invariant: every [`Document`] is valid, and the entities
+//! that its tables use to refer to each other are in range.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -14,20 +14,21 @@
 
 use crate::flaw::{Flaw, Refusal};
 use crate::layout::Layout;
-use crate::reader::{Flaws, Reader};
+use crate::reader::{Flaws, ObjectReader};
 use crate::row::{Class, Place, Preference, SearcherRow, ServiceRow, ShardRow, WorkspaceRow};
 use crate::section::{self, Section};
 
-/// The largest document, as the platform's service holds no more.
-pub(crate) const LARGEST: usize = 1 << 20;
+/// The maximum size of a document in bytes, which is the limit of the platform's
+/// configuration service.
+pub(crate) const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
-const MOST_INSTANCES: u64 = 100_000;
-const MOST_MILLIS: u64 = 60_000;
+const MAX_INSTANCES: u64 = 100_000;
+const MAX_DEADLINE_MS: u64 = 60_000;
 
-const TOP: &[&str] = &["revision", "instances", "places", "workspaces"];
-const PLACE: &[&str] = &["zone", "region"];
-const WORKSPACE: &[&str] = &["name", "in_flight", "services"];
-const SERVICE: &[&str] = &[
+const DOCUMENT_KEYS: &[&str] = &["revision", "instances", "places", "workspaces"];
+const PLACE_KEYS: &[&str] = &["zone", "region"];
+const WORKSPACE_KEYS: &[&str] = &["name", "in_flight", "services"];
+const SERVICE_KEYS: &[&str] = &[
     "name",
     "prefer",
     "class",
@@ -38,21 +39,21 @@
     "hedge_percent",
     "shards",
 ];
-const SHARD: &[&str] = &["replicas"];
-const REPLICA: &[&str] = &["address", "zone"];
+const SHARD_KEYS: &[&str] = &["replicas"];
+const REPLICA_KEYS: &[&str] = &["address", "zone"];
 
 /// A valid configuration document.
 #[derive(Debug)]
 pub struct Document {
-    /// The revision, which only grows.
+    /// The revision; operators increase it with each publication.
     pub revision: Revision,
-    /// The hash of the content, to tell two documents of one revision apart.
+    /// The content hash, which distinguishes two documents with the same revision.
     pub hash: u64,
-    /// How many instances run the system, as operators publish it.
+    /// The number of instances in the system, as published by the operators.
     pub instances: usize,
     /// The availability zones and their regions.
     pub places: Vec<Place>,
-    /// The workspaces.
+    /// The workspaces of all tenants.
     pub workspaces: Table<Workspace, WorkspaceRow>,
     /// The services of all workspaces.
     pub services: Table<Service, ServiceRow>,
@@ -60,78 +61,82 @@
     pub shards: Table<Shard, ShardRow>,
     /// The searchers of all shards.
     pub searchers: Table<Searcher, SearcherRow>,
-    /// The cells and what each home may hold.
+    /// The assignment of shards to cells, and the connection limits of their homes.
     pub layout: Layout,
     sections: Vec<Section>,
     names: HashMap<(Name, Name), Service>,
 }
 
 impl Document {
-    /// Parses and verifies a document, or refuses it with every fault.
+    /// Parses and validates a document; the error lists everything that is invalid.
     pub fn parse(text: &[u8]) -> Result<Self, Refusal> {
-        let refuse = |flaws| Refusal { step: Step("check document"), peer: Peer::Here, flaws };
-        if text.len() > LARGEST {
+        let reject = |flaws| Refusal { step: Step("check document"), peer: Peer::Here, flaws };
+        if text.len() > MAX_DOCUMENT_BYTES {
             let found = format!("{} bytes", text.len());
-            return Err(refuse(vec![Flaw::new("document", found, format!("{LARGEST} bytes"))]));
+            return Err(reject(vec![Flaw::new(
+                "document",
+                found,
+                format!("{MAX_DOCUMENT_BYTES} bytes"),
+            )]));
         }
         let source: Value = serde_json::from_slice(text).map_err(|error| {
-            let place = format!("line {} column {}", error.line(), error.column());
-            refuse(vec![Flaw::new(place, error.to_string(), "a whole JSON object")])
+            let position = format!("line {} column {}", error.line(), error.column());
+            reject(vec![Flaw::new(position, error.to_string(), "a complete JSON object")])
         })?;
-        Self::from_source(source).map_err(refuse)
+        Self::from_source(source).map_err(reject)
     }
 
-    /// Verifies a document that is JSON already.
+    /// Validates and indexes a parsed JSON document.
     pub(crate) fn from_source(source: Value) -> Result<Self, Vec<Flaw>> {
-        let mut walk = Walk::default();
-        walk.top(&source);
-        if !walk.flaws.is_empty() {
-            return Err(walk.flaws);
+        let mut validator = Validator::default();
+        validator.document(&source);
+        if !validator.flaws.is_empty() {
+            return Err(validator.flaws);
         }
-        let layout = Layout::compute(walk.instances, &walk.services, &walk.shards);
+        let layout = Layout::compute(validator.instances, &validator.services, &validator.shards);
         let sections = section::split(source);
         let hash = section::hash(&sections);
         Ok(Self {
-            revision: walk.revision,
+            revision: validator.revision,
             hash,
-            instances: walk.instances,
-            places: walk.places,
-            workspaces: walk.workspaces,
-            services: walk.services,
-            shards: walk.shards,
-            searchers: walk.searchers,
+            instances: validator.instances,
+            places: validator.places,
+            workspaces: validator.workspaces,
+            services: validator.services,
+            shards: validator.shards,
+            searchers: validator.searchers,
             layout,
             sections,
-            names: walk.names,
+            names: validator.names,
         })
     }
 
-    /// Finds a service by the names in a caller's path.
+    /// Looks up a service by the workspace and service names in a request path.
     pub fn service(&self, workspace: &str, service: &str) -> Option<Service> {
         self.names.get(&(Name::from(workspace), Name::from(service))).copied()
     }
 
-    /// Returns the region of a zone, or the zone itself where it is not published.
+    /// Returns the region of a zone, or the zone name itself if the zone is not listed.
     pub fn region<'a>(&'a self, zone: &'a str) -> &'a str {
         self.places.iter().find(|place| &*place.zone == zone).map_or(zone, |place| &place.region)
     }
 
-    /// Returns the number of regions.
+    /// Returns the number of distinct regions.
     pub fn regions(&self) -> usize {
         self.places.iter().map(|place| &place.region).collect::<HashSet<_>>().len()
     }
 
-    /// Returns the parts in which the document travels.
+    /// Returns the sections in which the document is transferred.
     ///
-    /// They are all that is kept of the JSON: the parsed tree of a large document takes
-    /// more than ten times as much memory.
+    /// Only the section texts are kept of the JSON source: the parsed tree of a large
+    /// document takes more than ten times as much memory.
     pub fn sections(&self) -> &[Section] {
         &self.sections
     }
 }
 
 impl fmt::Display for Document {
-    /// Writes the text form that dumps and tests use: one line a service.
+    /// Formats the document for state dumps and tests, with one line per service.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "document r{} hash {:016x}", self.revision, self.hash)?;
         writeln!(f, "instances {} zones {}", self.instances, self.places.len())?;
@@ -154,9 +159,9 @@
     }
 }
 
-/// The state of a walk over the input.
+/// Traverses a JSON document, collecting its tables and its errors.
 #[derive(Debug, Default)]
-struct Walk {
+struct Validator {
     flaws: Flaws,
     revision: Revision,
     instances: usize,
@@ -169,24 +174,24 @@
     addresses: HashSet<SocketAddr>,
 }
 
-impl Walk {
-    fn top(&mut self, source: &Value) {
-        let Some(top) = Reader::open("", source, TOP, &mut self.flaws) else {
+impl Validator {
+    fn document(&mut self, source: &Value) {
+        let Some(reader) = ObjectReader::open("", source, DOCUMENT_KEYS, &mut self.flaws) else {
             return;
         };
-        self.revision = top.number("revision", 1..=u64::MAX >> 1, None, &mut self.flaws);
+        self.revision = reader.number("revision", 1..=u64::MAX >> 1, None, &mut self.flaws);
         self.instances =
-            top.number("instances", 1..=MOST_INSTANCES, None, &mut self.flaws) as usize;
-        for (place, value) in top.list("places", &mut self.flaws) {
-            self.place(place, value);
+            reader.number("instances", 1..=MAX_INSTANCES, None, &mut self.flaws) as usize;
+        for (path, value) in reader.list("places", &mut self.flaws) {
+            self.place(path, value);
         }
-        for (place, value) in top.list("workspaces", &mut self.flaws) {
-            self.workspace(place, value);
+        for (path, value) in reader.list("workspaces", &mut self.flaws) {
+            self.workspace(path, value);
         }
     }
 
-    fn place(&mut self, place: String, value: &Value) {
-        let Some(reader) = Reader::open(place, value, PLACE, &mut self.flaws) else {
+    fn place(&mut self, path: String, value: &Value) {
+        let Some(reader) = ObjectReader::open(path, value, PLACE_KEYS, &mut self.flaws) else {
             return;
         };
         let zone = reader.name("zone", &mut self.flaws);
@@ -197,8 +202,8 @@
         self.places.push(Place { zone, region });
     }
 
-    fn workspace(&mut self, place: String, value: &Value) {
-        let Some(reader) = Reader::open(place, value, WORKSPACE, &mut self.flaws) else {
+    fn workspace(&mut self, path: String, value: &Value) {
+        let Some(reader) = ObjectReader::open(path, value, WORKSPACE_KEYS, &mut self.flaws) else {
             return;
         };
         let name = reader.name("name", &mut self.flaws);
@@ -211,30 +216,41 @@
             in_flight: in_flight as usize,
             services: Vec::new(),
         });
-        for (place, value) in reader.list("services", &mut self.flaws) {
-            self.service(place, value, id, &name);
+        for (path, value) in reader.list("services", &mut self.flaws) {
+            self.service(path, value, id, &name);
         }
     }
 
-    fn service(&mut self, place: String, value: &Value, workspace: Workspace, owner: &Name) {
-        let Some(reader) = Reader::open(place, value, SERVICE, &mut self.flaws) else {
+    fn service(
+        &mut self,
+        path: String,
+        value: &Value,
+        workspace: Workspace,
+        workspace_name: &Name,
+    ) {
+        let Some(reader) = ObjectReader::open(path, value, SERVICE_KEYS, &mut self.flaws) else {
             return;
         };
         let name = reader.name("name", &mut self.flaws);
         let service = self.service_row(&reader, workspace, Name::clone(&name));
         let id = self.services.push(service);
         self.workspaces[workspace].services.push(id);
-        if self.names.insert((Name::clone(owner), Name::clone(&name)), id).is_some() {
+        if self.names.insert((Name::clone(workspace_name), Name::clone(&name)), id).is_some() {
             self.flaws.push(Flaw::new(reader.path("name"), &*name, "each service once"));
         }
-        for (position, (place, value)) in
+        for (position, (path, value)) in
             reader.list("shards", &mut self.flaws).into_iter().enumerate()
         {
-            self.shard(place, value, id, position);
+            self.shard(path, value, id, position);
         }
     }
 
-    fn service_row(&mut self, reader: &Reader<'_>, workspace: Workspace, name: Name) -> ServiceRow {
+    fn service_row(
+        &mut self,
+        reader: &ObjectReader<'_>,
+        workspace: Workspace,
+        name: Name,
+    ) -> ServiceRow {
         let flaws = &mut self.flaws;
         let preferences = [("time", Preference::Time), ("coverage", Preference::Coverage)];
         let classes = [("interactive", Class::Interactive), ("bulk", Class::Bulk)];
@@ -246,7 +262,7 @@
             epoch: reader.number("epoch", 1..=u64::MAX >> 1, None, flaws),
             deadline: Duration::from_millis(reader.number(
                 "deadline_ms",
-                1..=MOST_MILLIS,
+                1..=MAX_DEADLINE_MS,
                 None,
                 flaws,
             )),
@@ -257,24 +273,24 @@
         }
     }
 
-    fn shard(&mut self, place: String, value: &Value, service: Service, position: usize) {
-        let Some(reader) = Reader::open(place, value, SHARD, &mut self.flaws) else {
+    fn shard(&mut self, path: String, value: &Value, service: Service, position: usize) {
+        let Some(reader) = ObjectReader::open(path, value, SHARD_KEYS, &mut self.flaws) else {
             return;
         };
         let id = self.shards.push(ShardRow { service, position, replicas: Vec::new() });
         self.services[service].shards.push(id);
-        for (place, value) in reader.list("replicas", &mut self.flaws) {
-            self.replica(place, value, id);
+        for (path, value) in reader.list("replicas", &mut self.flaws) {
+            self.replica(path, value, id);
         }
     }
 
-    fn replica(&mut self, place: String, value: &Value, shard: Shard) {
-        let Some(reader) = Reader::open(place, value, REPLICA, &mut self.flaws) else {
+    fn replica(&mut self, path: String, value: &Value, shard: Shard) {
+        let Some(reader) = ObjectReader::open(path, value, REPLICA_KEYS, &mut self.flaws) else {
             return;
         };
         let zone = reader.name("zone", &mut self.flaws);
         let Some(address) =
-            reader.parsed::<SocketAddr>("address", "an IP number and a port", &mut self.flaws)
+            reader.parsed::<SocketAddr>("address", "an IP address and a port", &mut self.flaws)
         else {
             return;
         };
--- a/crates/config/src/flaw.rs
+++ b/crates/config/src/flaw.rs
@@ -1,23 +1,23 @@
-//! What is wrong with a document or a settings file, and where.
+//! Validation errors of documents and settings files.
 
 use std::fmt;
 
 use bergamot_base::{Name, Peer, Step};
 use snafu::Snafu;
 
-/// One fault: the place, what was found there and what is allowed.
+/// A single error: its location, the invalid value and what is allowed instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Flaw {
     /// The path of the key, such as `workspaces[0].services[2].slots`.
     pub place: String,
-    /// What stands there.
+    /// The invalid value.
     pub found: String,
-    /// What may stand there.
+    /// What is allowed instead.
     pub allowed: String,
 }
 
 impl Flaw {
-    /// Describes a fault.
+    /// Creates an error for the value `found` at `place`.
     pub fn new(
         place: impl Into<String>,
         found: impl Into<String>,
@@ -33,20 +33,20 @@
     }
 }
 
-/// The refusal of a whole document or settings file, with every fault.
+/// The rejection of a whole document or settings file, with every error found in it.
 #[derive(Debug, Snafu)]
 #[snafu(display("{step} {peer}: refused with {} faults\n{}", flaws.len(), list(flaws)))]
 pub struct Refusal {
-    /// What was being done.
+    /// The operation that failed.
     pub step: Step,
-    /// Where the input came from.
+    /// The source of the input.
     pub peer: Peer,
-    /// Every fault found.
+    /// The errors, in the order in which they were found.
     pub flaws: Vec<Flaw>,
 }
 
 impl Refusal {
-    /// Refuses the input that came from a named file.
+    /// Sets the file that the input came from.
     #[must_use]
     pub fn at(self, file: &str) -> Self {
         Self { peer: Peer::File(Name::from(file)), ..self }
--- a/crates/config/src/floor.rs
+++ b/crates/config/src/floor.rs
@@ -1,22 +1,23 @@
-//! The revision floor: which document is in force.
+//! Tracking of the document revision in force.
 //!
-//! Invariant: the revision in force never falls during the life of a process,
-//! whatever a stale service, a stale peer or a late message offers. Two documents
-//! of one revision can't both be right; the one in force stays and the clash is
-//! reported, because no daemon can know which one the operators meant.
+//! Invariant: the revision in force never decreases during the lifetime of a process,
+//! even if a stale service, a stale peer or a delayed message offers an older one. If two
+//! documents have the same revision but different content, the one in force is kept and
+//! the conflict is reported, because a daemon cannot know which one the operators intended.
 
 use bergamot_base::Revision;
 
-/// What became of a revision that was offered.
+/// How an offered revision relates to the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The revision is higher than the one in force: fetch, check and adopt it.
+    /// The revision is higher than the one in force and should be fetched, validated and adopted.
     Newer,
-    /// The revision is the one in force.
+    /// The revision and the content are those in force.
     Same,
-    /// The revision is lower than the one in force and is ignored.
+    /// The revision is lower than the one in force and must be ignored.
     Older,
-    /// The revision is the one in force, with other content: keep ours and alarm.
+    /// The revision is the one in force but the content differs; the offer must be reported and
+    /// not adopted.
     Clash,
 }
 
@@ -29,22 +30,22 @@
 }
 
 impl Floor {
-    /// Returns the revision in force, zero before the first.
+    /// Returns the revision in force, or zero if none has been adopted.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the hash of the document in force.
+    /// Returns the content hash of the document in force.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Returns how many offers clashed with the document in force.
+    /// Returns the number of offers that conflicted with the document in force.
     pub fn clashes(&self) -> u64 {
         self.clashes
     }
 
-    /// Judges an offered revision without adopting it.
+    /// Compares an offered revision with the one in force, without adopting it.
     pub fn judge(&self, revision: Revision, hash: u64) -> Verdict {
         if revision > self.revision {
             Verdict::Newer
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Adopts a document that was checked whole, if it is still newer.
+    /// Adopts the revision of a validated document if it is newer, and counts conflicts.
     pub fn adopt(&mut self, revision: Revision, hash: u64) -> Verdict {
         let verdict = self.judge(revision, hash);
         match verdict {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The configuration document, process settings, their verifier and the revision floor.
+//! The configuration document and process settings: parsing, validation and revision tracking.
 //!
-//! Operators publish one JSON document. It is accepted whole or refused whole,
-//! with every [`Flaw`] listed ([`Document::parse`]). A process reads its own
-//! settings from an INI file that is checked against one declared table
-//! ([`Settings::parse`]). [`Floor`] decides which revision is in force, and
-//! [`Parcel`] splits a document into sections that travel by content hash.
+//! Operators publish one JSON document. [`Document::parse`] either accepts it or
+//! rejects it with a list of every [`Flaw`]; a document is never applied in part.
+//! [`Settings::parse`] validates a process's INI file against a single table of
+//! declared settings. [`Floor`] tracks the revision in force, and [`Parcel`]
+//! transfers a document as sections identified by content hash.
 //! See `docs/operations/configuration.md`.
 
 mod document;
--- a/crates/config/src/parcel.rs
+++ b/crates/config/src/parcel.rs
@@ -1,9 +1,9 @@
-//! A document on its way between two daemons.
+//! Transfer of a document between two daemons.
 //!
-//! A daemon that is behind sends the hashes
-//! of the sections it holds and gets only the others back. Invariant: a parcel
-//! that [`Parcel::assemble`] accepts yields the very document that was split; a
-//! missing or damaged section is a fault, never a smaller document.
+//! A daemon with an outdated document sends the hashes of its sections and receives only
+//! the texts of the others. Invariant: [`Parcel::assemble`] either reproduces the original
+//! document or fails; a missing or corrupt section is an error and never results in a
+//! smaller document.
 
 use std::collections::HashMap;
 
@@ -15,25 +15,25 @@
 use crate::flaw::{Flaw, Refusal};
 use crate::section::{self, Section};
 
-/// A document on its way between two daemons.
+/// A document in transfer form, without the texts that the receiver already has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Parcel {
     /// The revision of the document.
     pub revision: Revision,
     /// The hash of the whole document.
     pub hash: u64,
-    /// The sections in order.
+    /// The sections, in the order of [`Document::sections`].
     pub sections: Vec<Section>,
 }
 
 impl Parcel {
-    /// Packs a document.
+    /// Creates the transfer form of a document, with the texts of all sections.
     pub fn of(document: &Document) -> Self {
         let sections = document.sections().to_vec();
         Self { revision: document.revision, hash: document.hash, sections }
     }
 
-    /// Drops the text of each section that the receiver holds.
+    /// Omits the text of each section whose hash is in `held`.
     #[must_use]
     pub fn without(mut self, held: &[u64]) -> Self {
         for section in &mut self.sections {
@@ -44,14 +44,14 @@
         self
     }
 
-    /// Returns the hashes of all sections.
+    /// Returns the hashes of all sections, in order.
     pub fn hashes(&self) -> Vec<u64> {
         self.sections.iter().map(|section| section.hash).collect()
     }
 
-    /// Puts the document together again, with the help of the document held before.
+    /// Reassembles the document, taking omitted texts from the previous document `held`.
     pub fn assemble(&self, held: Option<&Document>) -> Result<Document, Refusal> {
-        let refuse = |flaws| Refusal { step: Step("assemble document"), peer: Peer::Here, flaws };
+        let reject = |flaws| Refusal { step: Step("assemble document"), peer: Peer::Here, flaws };
         let known: HashMap<u64, &Name> = held
             .into_iter()
             .flat_map(Document::sections)
@@ -59,24 +59,32 @@
             .collect();
         let mut values = Vec::with_capacity(self.sections.len());
         for (i, section) in self.sections.iter().enumerate() {
-            let flaw =
-                |found: &str| refuse(vec![Flaw::new(format!("section {i}"), found, "its text")]);
+            let error =
+                |found: &str| reject(vec![Flaw::new(format!("section {i}"), found, "its text")]);
             let text = section.text.as_ref().or_else(|| known.get(&section.hash).copied());
-            let text = text.ok_or_else(|| flaw("no text"))?;
+            let text = text.ok_or_else(|| error("no text, also not in the previous document"))?;
             if hash_bytes(text.as_bytes()) != section.hash {
-                return Err(flaw("a text of another hash"));
+                return Err(error("a text with another hash"));
             }
             let value: Value =
-                serde_json::from_str(text).map_err(|error| flaw(&error.to_string()))?;
+                serde_json::from_str(text).map_err(|cause| error(&cause.to_string()))?;
             values.push(value);
         }
         let source = section::join(values).ok_or_else(|| {
-            refuse(vec![Flaw::new("sections", "a wrong count", "one for each service")])
+            reject(vec![Flaw::new(
+                "sections",
+                "an inconsistent number of sections",
+                "the number stated in the headers",
+            )])
         })?;
-        let document = Document::from_source(source).map_err(refuse)?;
+        let document = Document::from_source(source).map_err(reject)?;
         if document.hash == self.hash && document.revision == self.revision {
             return Ok(document);
         }
-        Err(refuse(vec![Flaw::new("document", "another hash or revision", "that of the parcel")]))
+        Err(reject(vec![Flaw::new(
+            "document",
+            "another hash or revision",
+            "the hash and revision of the transfer",
+        )]))
     }
 }
--- a/crates/config/src/row.rs
+++ b/crates/config/src/row.rs
@@ -6,12 +6,12 @@
 
 use bergamot_base::{Epoch, Name, Searcher, Service, Shard, Workspace, hash_bytes};
 
-/// What a service gives up first when it can't have both.
+/// Which of response time and coverage a service favors when it cannot have both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preference {
-    /// Answer at the margin before the deadline with what there is.
+    /// Respond in time, a margin before the deadline, with the results available by then.
     Time,
-    /// Wait until the deadline for the whole answer.
+    /// Wait for complete results until the deadline.
     Coverage,
 }
 
@@ -27,9 +27,9 @@
 /// The admission class of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// A person is waiting: never displaced by bulk work.
+    /// Requests with a person waiting; bulk requests never displace them.
     Interactive,
-    /// Large scans, which may borrow what interactive work leaves idle.
+    /// Large scans, which may use capacity that interactive requests leave idle.
     Bulk,
 }
 
@@ -42,53 +42,53 @@
     }
 }
 
-/// An availability zone and the region in which it lies.
+/// An availability zone and its region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// The availability zone.
+    /// The name of the availability zone.
     pub zone: Name,
-    /// The region.
+    /// The name of the region.
     pub region: Name,
 }
 
 /// A workspace of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkspaceRow {
-    /// The name in callers' paths.
+    /// The name used in request paths.
     pub name: Name,
-    /// How many requests one entry runs at once for this workspace.
+    /// The maximum number of requests in flight for this workspace, per entry.
     pub in_flight: usize,
     /// The services of the workspace.
     pub services: Vec<Service>,
 }
 
-/// A service of a workspace: an index cut into shards.
+/// A service of a workspace: an index partitioned into shards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRow {
     /// The workspace to which the service belongs.
     pub workspace: Workspace,
-    /// The name in callers' paths.
+    /// The name used in request paths.
     pub name: Name,
-    /// What is given up first.
+    /// Whether response time or coverage is favored.
     pub preference: Preference,
     /// The admission class.
     pub class: Class,
     /// The epoch of the partition map.
     pub epoch: Epoch,
-    /// The deadline of a request that names none.
+    /// The default deadline of a request.
     pub deadline: Duration,
-    /// How many requests a searcher works on at once.
+    /// The number of requests that a searcher processes concurrently.
     pub slots: usize,
-    /// How many connections a searcher accepts.
+    /// The number of connections that a searcher accepts.
     pub connections: usize,
-    /// Extra sub-queries that hedging may add, in percent.
+    /// The maximum share of extra sub-queries added by hedging, in percent.
     pub hedge_percent: u32,
     /// The shards of the partition map, in order.
     pub shards: Vec<Shard>,
 }
 
 impl ServiceRow {
-    /// Returns the shard that holds the record of a key.
+    /// Returns the shard that holds the record with the given key.
     pub fn holder(&self, key: &str) -> Shard {
         self.shards[(hash_bytes(key.as_bytes()) % self.shards.len() as u64) as usize]
     }
@@ -97,20 +97,20 @@
 /// A shard of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardRow {
-    /// The service of which this is a part.
+    /// The service that the shard belongs to.
     pub service: Service,
     /// The position in the service's partition map.
     pub position: usize,
-    /// The searchers that hold the shard.
+    /// The searchers that serve the shard.
     pub replicas: Vec<Searcher>,
 }
 
-/// A searcher: an upstream that holds one replica of a shard.
+/// A searcher: an upstream that serves one replica of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearcherRow {
-    /// The shard that the searcher holds.
+    /// The shard that the searcher serves.
     pub shard: Shard,
-    /// Where the searcher listens.
+    /// The address that the searcher listens on.
     pub address: SocketAddr,
     /// The availability zone in which the searcher runs.
     pub zone: Name,
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,24 +1,26 @@
-//! The sections of a document: the parts in which it travels, by content hash.
+//! Content-hashed sections, the units in which a document is transferred.
 //!
-//! A change mostly touches a few shards of one service. A document is cut into its head
-//! without the services, the head of each service without its shards, and the shards in
-//! chunks. Invariant: [`join`] of what [`split`] made is the document again, and the
-//! hash of a document depends on its content only, not on white space or the order of
-//! keys: texts are written from the parsed tree, whose keys are sorted.
+//! Most changes touch a few shards of one service, so a document is split into a header
+//! without the services, one header per service without its shards, and fixed-size chunks
+//! of shards. Unchanged sections need not be sent again.
+//!
+//! Invariant: [`join`] inverts [`split`]. The hash of a document depends only on its
+//! content, not on white space or key order, because section texts are serialized from
+//! the parsed tree, whose keys are sorted.
 
 use bergamot_base::{Name, hash_bytes, hash_parts};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// How many shards one section holds.
-const CHUNK: usize = 64;
+/// The maximum number of shards per section.
+const SHARDS_PER_SECTION: usize = 64;
 
-/// One section: its content hash and, where the receiver lacks it, its text.
+/// A section: its content hash and, unless the receiver already has it, its text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Section {
-    /// The hash of the text.
+    /// The content hash of the text.
     pub hash: u64,
-    /// The JSON text, absent where the receiver holds it already.
+    /// The JSON text, or `None` if the receiver already has it.
     pub text: Option<Name>,
 }
 
@@ -29,28 +31,31 @@
     }
 }
 
-/// Returns the hash of the whole document.
+/// Computes the document hash from the section hashes.
 pub(crate) fn hash(sections: &[Section]) -> u64 {
     let hashes: Vec<_> = sections.iter().map(|section| section.hash.to_le_bytes()).collect();
     hash_parts(hashes.iter().map(<[u8; 8]>::as_slice))
 }
 
-/// Cuts a document into sections, in the order in which [`join`] reads them.
+/// Splits a document into sections, in the order that [`join`] expects.
 pub(crate) fn split(mut source: Value) -> Vec<Section> {
     let mut sections = Vec::new();
     for workspace in list_mut(&mut source, "workspaces") {
         for mut service in take_list(workspace, "services") {
             let shards = take_list(&mut service, "shards");
             sections.push(Section::new(&service));
-            sections.extend(shards.chunks(CHUNK).map(|chunk| Section::new(&Value::from(chunk))));
+            sections.extend(
+                shards.chunks(SHARDS_PER_SECTION).map(|chunk| Section::new(&Value::from(chunk))),
+            );
         }
     }
     sections.insert(0, Section::new(&source));
     sections
 }
 
-/// Puts the parsed sections of a document together again, or nothing where they don't
-/// fit each other.
+/// Reassembles a document from its parsed sections.
+///
+/// Returns `None` if the sections are inconsistent with each other.
 pub(crate) fn join(values: Vec<Value>) -> Option<Value> {
     let mut values = values.into_iter();
     let mut source = values.next()?;
@@ -79,7 +84,7 @@
     Some(service)
 }
 
-/// Takes a list out of an object and leaves its length behind.
+/// Removes a list from an object and stores its length in its place.
 fn take_list(object: &mut Value, key: &str) -> Vec<Value> {
     let Some(list) = object.get_mut(key) else { return Vec::new() };
     let Some(items) = list.as_array_mut() else { return Vec::new() };
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of a process, declared in one table.
 //!
-//! The table below is the only place that knows a setting: its section, key, type,
-//! default, range and meaning. The struct, the defaults, the check and the help
-//! text are made from it.
+//! The `settings!` table below is the single definition of each setting: its section, key,
+//! type, default, range and description. The structs, defaults, validation and help text are
+//! generated from it.
 
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,25 +13,25 @@
 
 use crate::flaw::{Flaw, Refusal};
 
-/// A declared setting, for help texts and checks.
+/// A declared setting, for help texts and tests.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
     /// The section of the INI file.
     pub section: &'static str,
     /// The key within the section.
     pub name: &'static str,
-    /// What the setting does.
+    /// The description of the setting.
     pub help: &'static str,
 }
 
-/// A type that a setting can have: read from text within bounds.
-trait Value: Sized {
+/// The type of a setting, which is parsed from text within bounds.
+trait SettingValue: Sized {
     type Bounds;
     fn read(text: &str, bounds: &Self::Bounds) -> Option<Self>;
     fn allowed(bounds: &Self::Bounds) -> String;
 }
 
-impl Value for u64 {
+impl SettingValue for u64 {
     type Bounds = (u64, u64);
 
     fn read(text: &str, bounds: &Self::Bounds) -> Option<Self> {
@@ -39,11 +39,11 @@
     }
 
     fn allowed(bounds: &Self::Bounds) -> String {
-        format!("a whole number from {} to {}", bounds.0, bounds.1)
+        format!("an integer from {} to {}", bounds.0, bounds.1)
     }
 }
 
-impl Value for u16 {
+impl SettingValue for u16 {
     type Bounds = (u16, u16);
 
     fn read(text: &str, bounds: &Self::Bounds) -> Option<Self> {
@@ -55,8 +55,8 @@
     }
 }
 
-impl Value for Duration {
-    /// The bounds in milliseconds.
+impl SettingValue for Duration {
+    /// The minimum and maximum in milliseconds.
     type Bounds = (u64, u64);
 
     fn read(text: &str, bounds: &Self::Bounds) -> Option<Self> {
@@ -68,7 +68,7 @@
     }
 }
 
-impl Value for bool {
+impl SettingValue for bool {
     type Bounds = ();
 
     fn read(text: &str, _bounds: &()) -> Option<Self> {
@@ -84,7 +84,7 @@
     }
 }
 
-impl Value for Ipv4Addr {
+impl SettingValue for Ipv4Addr {
     type Bounds = ();
 
     fn read(text: &str, _bounds: &()) -> Option<Self> {
@@ -92,11 +92,11 @@
     }
 
     fn allowed(_bounds: &()) -> String {
-        "an IPv4 number of this instance".to_owned()
+        "an IPv4 address of this instance".to_owned()
     }
 }
 
-impl Value for SocketAddr {
+impl SettingValue for SocketAddr {
     type Bounds = ();
 
     fn read(text: &str, _bounds: &()) -> Option<Self> {
@@ -104,11 +104,11 @@
     }
 
     fn allowed(_bounds: &()) -> String {
-        "an IP number and a port".to_owned()
+        "an IP address and a port".to_owned()
     }
 }
 
-impl Value for Name {
+impl SettingValue for Name {
     type Bounds = ();
 
     fn read(text: &str, _bounds: &()) -> Option<Self> {
@@ -142,7 +142,7 @@
         }
 
         impl Settings {
-            /// Every declared setting, in the order of the table.
+            /// All declared settings, in table order.
             pub const KEYS: &[Key] = &[
                 $($(Key {
                     section: stringify!($section),
@@ -151,15 +151,15 @@
                 },)*)*
             ];
 
-            /// Sets one key, or says what is allowed there.
+            /// Sets a key; the error describes the allowed keys or values.
             fn set(&mut self, section: &str, key: &str, text: &str) -> Result<(), String> {
                 match (section, key) {
                     $($((stringify!($section), stringify!($key)) => {
-                        self.$section.$key = <$type as Value>::read(text, &$bounds)
-                            .ok_or_else(|| <$type as Value>::allowed(&$bounds))?;
+                        self.$section.$key = <$type as SettingValue>::read(text, &$bounds)
+                            .ok_or_else(|| <$type as SettingValue>::allowed(&$bounds))?;
                         Ok(())
                     })*)*
-                    _ => Err(known(section)),
+                    _ => Err(allowed_keys(section)),
                 }
             }
         }
@@ -168,54 +168,55 @@
 
 settings! {
     instance {
-        address: Ipv4Addr = Ipv4Addr::LOCALHOST, (), "The IPv4 number at which this instance is reached.";
+        address: Ipv4Addr = Ipv4Addr::LOCALHOST, (), "The IPv4 address of this instance.";
         zone: Name = Name::from("local"), (), "The availability zone of this instance.";
     }
     platform {
-        configuration: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7300)), (), "The configuration service.";
-        instances: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7301)), (), "The instance list.";
-        timeout: Duration = Duration::from_secs(1), (10, 60_000), "How long the platform may be silent during a read.";
+        configuration: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7300)), (), "The address of the configuration service.";
+        instances: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7301)), (), "The address of the instance list.";
+        timeout: Duration = Duration::from_secs(1), (10, 60_000), "The maximum time without data during a read from the platform.";
         poll: Duration = Duration::from_secs(1), (50, 600_000), "How often the instance list is read.";
     }
     ports {
-        entry_callers: u16 = 7400, (1, 65_535), "Callers' HTTP on each entry.";
-        entry_peers: u16 = 7401, (1, 65_535), "Requests between entries.";
-        entry_control: u16 = 7402, (1, 65_535), "The control datagrams and streams of each entry.";
-        entry_admin: u16 = 7403, (1, 65_535), "Metrics and state of each entry.";
-        gather_peers: u16 = 7411, (1, 65_535), "Sub-queries to each gather.";
-        gather_control: u16 = 7412, (1, 65_535), "The control datagrams and streams of each gather.";
-        gather_admin: u16 = 7413, (1, 65_535), "Metrics and state of each gather.";
+        entry_callers: u16 = 7400, (1, 65_535), "The HTTP port for callers on each entry.";
+        entry_peers: u16 = 7401, (1, 65_535), "The port for requests between entries.";
+        entry_control: u16 = 7402, (1, 65_535), "The port for control datagrams and streams of each entry.";
+        entry_admin: u16 = 7403, (1, 65_535), "The port for metrics and state of each entry.";
+        gather_peers: u16 = 7411, (1, 65_535), "The port for sub-queries to each gather.";
+        gather_control: u16 = 7412, (1, 65_535), "The port for control datagrams and streams of each gather.";
+        gather_admin: u16 = 7413, (1, 65_535), "The port for metrics and state of each gather.";
     }
     control {
-        probe: Duration = Duration::from_millis(500), (20, 60_000), "How often one other member is probed.";
-        answer: Duration = Duration::from_millis(150), (5, 60_000), "How long a probe may stay unanswered before others are asked.";
-        suspicion: Duration = Duration::from_secs(2), (50, 600_000), "How long a suspect may refute before it counts as unreachable.";
-        direct: Duration = Duration::from_secs(10), (100, 3_600_000), "The shortest time between two direct reads of the configuration service.";
-        pause: Duration = Duration::from_millis(400), (50, 60_000), "A gap of the clock above this means that the process slept.";
-        readers: u64 = 2, (1, 16), "How many members of each zone hold a watch on the configuration service.";
+        probe: Duration = Duration::from_millis(500), (20, 60_000), "The interval between probes; each probe goes to one other member.";
+        answer: Duration = Duration::from_millis(150), (5, 60_000), "The time without an answer to a probe after which other members are asked to probe.";
+        suspicion: Duration = Duration::from_secs(2), (50, 600_000), "The time a suspected member has to refute the suspicion before it is considered unreachable.";
+        direct: Duration = Duration::from_secs(10), (100, 3_600_000), "The minimum time between two direct reads of the configuration service.";
+        pause: Duration = Duration::from_millis(400), (50, 60_000), "The clock gap above which the process is considered to have been paused.";
+        readers: u64 = 2, (1, 16), "The number of members in each zone that watch the configuration service.";
     }
     entry {
-        body_bytes: u64 = 65_536, (64, 16_777_216), "The largest request body.";
-        shortest_deadline: Duration = Duration::from_millis(1), (1, 60_000), "The shortest deadline that a caller may ask for.";
-        longest_deadline: Duration = Duration::from_secs(30), (1, 600_000), "The longest deadline that a caller may ask for.";
-        margin: Duration = Duration::from_millis(4), (0, 10_000), "The part of a deadline kept for the merge and the way back.";
-        address_ttl: Duration = Duration::from_secs(3), (10, 3_600_000), "How long a caller may keep an address answer.";
-        failover: Duration = Duration::from_millis(15), (1, 60_000), "How long the first home of a cell may stay silent before the second is asked too.";
-        keys: Duration = Duration::from_mins(10), (1000, 86_400_000), "How long a write key can be used.";
-        drain: Duration = Duration::from_secs(30), (100, 3_600_000), "The longest time that a planned stop waits for requests in flight.";
+        body_bytes: u64 = 65_536, (64, 16_777_216), "The maximum size of a request body in bytes.";
+        shortest_deadline: Duration = Duration::from_millis(1), (1, 60_000), "The shortest deadline that a caller may request.";
+        longest_deadline: Duration = Duration::from_secs(30), (1, 600_000), "The longest deadline that a caller may request.";
+        margin: Duration = Duration::from_millis(4), (0, 10_000), "The part of a deadline reserved for merging and returning the response.";
+        address_ttl: Duration = Duration::from_secs(3), (10, 3_600_000), "The time for which a caller may cache an address response.";
+        failover: Duration = Duration::from_millis(15), (1, 60_000), "The time without a response from the first home of a cell after which the second is queried too.";
+        keys: Duration = Duration::from_mins(10), (1000, 86_400_000), "The time for which a write key is valid.";
+        drain: Duration = Duration::from_secs(30), (100, 3_600_000), "The maximum time that a graceful shutdown waits for requests in flight.";
     }
     gather {
         hedge: bool = true, (), "Whether slow sub-queries are hedged to another replica.";
-        hedge_floor: Duration = Duration::from_millis(2), (0, 60_000), "The shortest wait before a hedge.";
-        retry: bool = true, (), "Whether failed sub-queries go to another replica.";
-        pick: bool = true, (), "Whether the better of two replicas is picked, in place of the first.";
-        queue: u64 = 64, (1, 65_536), "How many sub-queries may wait for one searcher.";
-        dial: Duration = Duration::from_millis(250), (1, 60_000), "How long a new connection may take.";
-        status: Duration = Duration::from_millis(500), (20, 600_000), "How often each searcher is asked for its status.";
+        hedge_floor: Duration = Duration::from_millis(2), (0, 60_000), "The minimum delay before a hedge.";
+        retry: bool = true, (), "Whether failed sub-queries are retried on another replica.";
+        pick: bool = true, (), "Whether the better of two replicas is chosen instead of the first.";
+        queue: u64 = 64, (1, 65_536), "The maximum number of sub-queries queued for one searcher.";
+        dial: Duration = Duration::from_millis(250), (1, 60_000), "The timeout for establishing a connection.";
+        status: Duration = Duration::from_millis(500), (20, 600_000), "The interval between status requests to each searcher.";
     }
 }
 
-fn known(section: &str) -> String {
+/// Describes the keys of a section, or all sections if there is none of that name.
+fn allowed_keys(section: &str) -> String {
     let keys: Vec<_> =
         Settings::KEYS.iter().filter(|key| key.section == section).map(|key| key.name).collect();
     if keys.is_empty() {
@@ -227,12 +228,12 @@
 }
 
 impl Settings {
-    /// Parses and checks the text of an INI file, or refuses it with every fault.
+    /// Parses and validates an INI file; the error lists everything that is invalid.
     pub fn parse(text: &str) -> Result<Self, Refusal> {
-        let refuse = |flaws| Refusal { step: Step("check settings"), peer: Peer::Here, flaws };
+        let reject = |flaws| Refusal { step: Step("check settings"), peer: Peer::Here, flaws };
         let ini = Ini::load_from_str(text).map_err(|error| {
-            let place = format!("line {} column {}", error.line, error.col);
-            refuse(vec![Flaw::new(place, &*error.msg, "INI sections and keys")])
+            let position = format!("line {} column {}", error.line, error.col);
+            reject(vec![Flaw::new(position, &*error.msg, "INI sections and keys")])
         })?;
         let mut settings = Self::default();
         let mut flaws = Vec::new();
@@ -248,12 +249,12 @@
                 }
             }
         }
-        settings.check(&mut flaws);
-        if flaws.is_empty() { Ok(settings) } else { Err(refuse(flaws)) }
+        settings.check_constraints(&mut flaws);
+        if flaws.is_empty() { Ok(settings) } else { Err(reject(flaws)) }
     }
 
-    /// Checks what no single key can know.
-    fn check(&self, flaws: &mut Vec<Flaw>) {
+    /// Checks the constraints between settings.
+    fn check_constraints(&self, flaws: &mut Vec<Flaw>) {
         if self.entry.shortest_deadline > self.entry.longest_deadline {
             let found = format!("{} ms", self.entry.shortest_deadline.as_millis());
             let allowed = "at most longest_deadline";
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Lists every setting with its section and meaning, for help texts.
+    /// Formats the section, key and description of every setting, one per line.
     pub fn help() -> String {
         let line = |key: &Key| format!("[{}] {}: {}", key.section, key.name, key.help);
         Self::KEYS.iter().map(line).collect::<Vec<_>>().join("\n")
--- a/crates/config/tests/filetests.rs
+++ b/crates/config/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Documents, settings and layouts with their stated outcomes.
+//! File tests of document and settings parsing: each file holds an input and its expected outcome.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the revision floor and of parcels.
+//! Properties of revision tracking and of document transfer.
 
 use bergamot_config::{Document, Floor, Parcel, Verdict};
 use proptest::prelude::*;
@@ -25,50 +25,53 @@
 
 proptest! {
     #[test]
-    fn the_floor_never_falls_whatever_is_offered(
+    fn the_revision_in_force_never_decreases(
         offers in proptest::collection::vec((0_u64..6, 0_u64..3), 1..60),
     ) {
         let mut floor = Floor::default();
-        let mut held = (0, 0);
+        let mut current = (0, 0);
         for (revision, hash) in offers {
             let verdict = floor.adopt(revision, hash);
             if verdict == Verdict::Newer {
-                prop_assert!(revision > held.0);
-                held = (revision, hash);
+                prop_assert!(revision > current.0);
+                current = (revision, hash);
             }
-            prop_assert_eq!((floor.revision(), floor.hash()), held);
+            prop_assert_eq!((floor.revision(), floor.hash()), current);
         }
     }
 
     #[test]
-    fn a_parcel_yields_the_document_that_was_split(
+    fn a_reassembled_document_equals_the_original(
         before in proptest::collection::vec(1_u64..4, 2..6),
         after in proptest::collection::vec(1_u64..4, 2..6),
     ) {
         let (old, new) = (document(1, &before), document(2, &after));
         let sent = Parcel::of(&new).without(&Parcel::of(&old).hashes());
-        let got = sent.assemble(Some(&old)).expect("the parcel and the held document are whole");
+        let got = sent.assemble(Some(&old)).expect("every section is in the transfer or in the previous document");
         prop_assert_eq!(got.hash, new.hash);
         prop_assert_eq!(got.to_string(), new.to_string());
     }
 }
 
 #[test]
-fn a_parcel_that_lacks_a_section_is_refused() {
+fn a_missing_or_corrupt_section_is_rejected() {
     let (old, new) = (document(1, &[1, 1]), document(2, &[2, 1]));
     let sent = Parcel::of(&new).without(&Parcel::of(&old).hashes());
     let refusal = sent.assemble(None).expect_err("a section's text is missing");
     assert!(refusal.to_string().contains("section"), "{refusal}");
-    let mut damaged = Parcel::of(&new);
-    damaged.sections[1].text = Some("{}".into());
-    let refusal = damaged.assemble(None).expect_err("a section is damaged");
+    let mut corrupt = Parcel::of(&new);
+    corrupt.sections[1].text = Some("{}".into());
+    let refusal = corrupt.assemble(None).expect_err("a section is corrupt");
     assert!(refusal.to_string().contains("another hash"), "{refusal}");
 }
 
 #[test]
-fn an_unchanged_section_does_not_travel() {
+fn unchanged_sections_are_not_sent() {
     let (old, new) = (document(1, &[1, 1, 1, 1]), document(2, &[1, 1, 9, 1]));
     let sent = Parcel::of(&new).without(&Parcel::of(&old).hashes());
-    let travelling = sent.sections.iter().filter(|section| section.text.is_some()).count();
-    assert_eq!(travelling, 2, "the head with the revision, and the head of the one service");
+    let sent_texts = sent.sections.iter().filter(|section| section.text.is_some()).count();
+    assert_eq!(
+        sent_texts, 2,
+        "the document header with the revision, and the header of one service"
+    );
 }
