--- a/crates/base/src/awake.rs
+++ b/crates/base/src/awake.rs
@@ -1,7 +1,9 @@
-//! Whether the process may start new work, or slept and must catch up first.
+//! Suspension of new work after a pause of the process.
 //!
-//! Invariant: from the moment a pause is noticed until the process has asked others
-//! what is in force, or a short bound has passed, no new work starts.
+//! After a pause, the process's view of the configuration may be outdated. Invariant: from
+//! the detection of a pause until the process has caught up with other members, or until
+//! [`MAX_WAIT`] has passed, no new work starts. After a timeout the caller of
+//! [`Awake::wait`] decides whether to reject the work or to proceed.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,63 +12,63 @@
 
 use crate::pulse::Pulse;
 
-/// How long new work waits at the most for the process to catch up.
-const LONGEST_WAIT: Duration = Duration::from_millis(300);
+/// The maximum time that new work waits for the process to catch up.
+const MAX_WAIT: Duration = Duration::from_millis(300);
 
-/// The pulse of a process and whether it has caught up since the last pause.
+/// Blocks new work from a pause of the process until it has caught up.
 #[derive(Debug)]
 pub struct Awake {
-    pulse: Mutex<Pulse>,
-    current: watch::Sender<bool>,
+    detector: Mutex<Pulse>,
+    caught_up: watch::Sender<bool>,
 }
 
 impl Awake {
-    /// Starts awake; gaps between beats above `longest` are pauses.
-    pub fn new(longest: Duration) -> Self {
-        let pulse = Mutex::new(Pulse::new(Instant::now(), longest));
-        Self { pulse, current: watch::Sender::new(true) }
+    /// Creates a gate that is open, and treats gaps between ticks above `threshold` as pauses.
+    pub fn new(threshold: Duration) -> Self {
+        let detector = Mutex::new(Pulse::new(Instant::now(), threshold));
+        Self { detector, caught_up: watch::Sender::new(true) }
     }
 
-    /// Beats the pulse; returns the pause where there was one.
+    /// Records a tick; returns the length of the pause before it, if there was one.
     pub fn beat(&self, now: Instant) -> Option<Duration> {
-        let mut pulse = self.lock();
-        let gap = pulse.beat(now);
+        let mut detector = self.lock();
+        let gap = detector.beat(now);
         if gap.is_some() {
-            // Under the lock, so that nobody sees a beaten pulse before the mark.
-            self.current.send_replace(false);
+            // Done under the lock, so that no other thread sees the tick before the gate is closed.
+            self.caught_up.send_replace(false);
         }
         gap
     }
 
     /// Records that the process has caught up.
     pub fn caught_up(&self) {
-        self.current.send_replace(true);
+        self.caught_up.send_replace(true);
     }
 
-    /// Tells whether new work may start right now.
+    /// Returns whether new work may start at `now`.
     pub fn is_awake(&self, now: Instant) -> bool {
-        let slept = self.lock().slept(now);
-        !slept && *self.current.borrow()
+        let paused = self.lock().slept(now);
+        !paused && *self.caught_up.borrow()
     }
 
-    /// Waits until new work may start, up to a short bound, and tells whether it may.
+    /// Waits until new work may start, for `MAX_WAIT` at most, and returns whether it may.
     pub async fn wait(&self) -> bool {
         if self.is_awake(Instant::now()) {
             return true;
         }
-        let mut current = self.current.subscribe();
-        let caught_up = async {
-            // The pulse may not have noticed the pause yet: let it beat first.
+        let mut caught_up = self.caught_up.subscribe();
+        let reopened = async {
+            // The pause may not have been recorded yet, so wait for the next tick first.
             while self.lock().slept(Instant::now()) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            // The sender lives as long as self, so waiting can't fail.
-            let _ = current.wait_for(|current| *current).await;
+            // This cannot fail, because `self` owns the sender.
+            let _ = caught_up.wait_for(|caught_up| *caught_up).await;
         };
-        tokio::time::timeout(LONGEST_WAIT, caught_up).await.is_ok()
+        tokio::time::timeout(MAX_WAIT, reopened).await.is_ok()
     }
 
     fn lock(&self) -> MutexGuard<'_, Pulse> {
-        self.pulse.lock().unwrap_or_else(PoisonError::into_inner)
+        self.detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/base/src/budget.rs
+++ b/crates/base/src/budget.rs
@@ -1,12 +1,12 @@
-//! A token bucket that earns a fraction of a token for each unit of normal work.
+//! A token bucket that gains a fraction of a token for each unit of regular work.
 //!
-//! Hedges and retries are paid from such a bucket, so that a service that is slow
-//! as a whole can't double its own load. Invariant: over any run, spending is at
-//! most `reserve + fraction * work`.
+//! Hedges and retries take tokens from such a bucket, so that they cannot double the load
+//! of a service that is slow as a whole. Invariant: after any sequence of calls, at most
+//! `reserve + fraction * work` tokens have been spent.
 
 use std::fmt;
 
-/// A budget for extra work.
+/// A budget for extra work such as hedges and retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
     fraction: f64,
@@ -17,22 +17,22 @@
 }
 
 impl Budget {
-    /// Makes a full bucket that earns `fraction` tokens a unit, up to `reserve`.
+    /// Creates a full bucket that gains `fraction` tokens per unit of work, up to `reserve`.
     pub fn new(fraction: f64, reserve: f64) -> Self {
         Self { fraction, reserve, tokens: reserve, spent: 0, denied: 0 }
     }
 
-    /// Changes what a unit of work earns.
+    /// Sets the number of tokens gained per unit of work.
     pub fn set_fraction(&mut self, fraction: f64) {
         self.fraction = fraction;
     }
 
-    /// Records a unit of normal work.
+    /// Records a unit of regular work.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.fraction).min(self.reserve);
     }
 
-    /// Spends a token if there is one.
+    /// Takes a token, and returns whether one was available.
     pub fn spend(&mut self) -> bool {
         let granted = self.tokens >= 1.0;
         if granted {
--- a/crates/base/src/deadline.rs
+++ b/crates/base/src/deadline.rs
@@ -1,31 +1,31 @@
 //! Deadlines on the local monotonic clock.
 //!
-//! Instances don't share a clock, so a deadline crosses the network as the time
-//! that is left. Invariant: each hop only ever shortens it.
+//! Instances do not share a clock, so a deadline is sent over the network as the remaining
+//! time. Invariant: each hop can only shorten it.
 
 use std::time::{Duration, Instant};
 
-/// The moment after which an answer is of no use to the caller.
+/// The time after which a response is of no use to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(Instant);
 
 impl Deadline {
-    /// Sets a deadline some time after `now`.
-    pub fn after(now: Instant, left: Duration) -> Self {
-        Self(now + left)
+    /// Creates a deadline that is `remaining` after `now`.
+    pub fn after(now: Instant, remaining: Duration) -> Self {
+        Self(now + remaining)
     }
 
-    /// Returns the time left at `now`, zero once the deadline has passed.
+    /// Returns the time remaining at `now`, or zero if the deadline has passed.
     pub fn left(self, now: Instant) -> Duration {
         self.0.saturating_duration_since(now)
     }
 
-    /// Tells whether the deadline has passed at `now`.
+    /// Returns whether the deadline has passed at `now`.
     pub fn passed(self, now: Instant) -> bool {
         self.0 <= now
     }
 
-    /// Returns an earlier deadline that leaves `margin` for what follows.
+    /// Returns a deadline that is earlier by `margin`, which is reserved for later steps.
     #[must_use]
     pub fn less(self, margin: Duration) -> Self {
         Self(self.0.checked_sub(margin).unwrap_or(self.0))
@@ -37,7 +37,7 @@
         self.min(other)
     }
 
-    /// Returns the instant itself, for timers.
+    /// Returns the deadline as an instant, for timers.
     pub fn instant(self) -> Instant {
         self.0
     }
--- a/crates/base/src/fault.rs
+++ b/crates/base/src/fault.rs
@@ -1,14 +1,14 @@
-//! The step and the peer at which an error arose.
+//! The context of an error: the operation that failed and the peer involved.
 //!
-//! Every error type of the workspace carries both, so that an operator can read
-//! from one line what was being done and with whom.
+//! The error types of this repository contain both, so that a single log line tells
+//! operators what failed and with which peer.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use crate::Name;
 
-/// What was being done when an error arose, such as `dial` or `decode`.
+/// The operation that failed, such as `dial` or `decode`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step(pub &'static str);
 
@@ -18,16 +18,16 @@
     }
 }
 
-/// The other side of the exchange in which an error arose.
+/// The remote party, or the source of the input, of an operation that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Peer {
-    /// A socket address.
+    /// The process at a socket address.
     Address(SocketAddr),
-    /// A file on the operator's side.
+    /// A file supplied by an operator.
     File(Name),
     /// The caller of a request.
     Caller,
-    /// This process itself.
+    /// The local process; no other party was involved.
     Here,
 }
 
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -1,8 +1,8 @@
 //! Typed indices and the tables they index.
 //!
-//! An index is only meaningful for the document that it came from. Messages
-//! that carry one also carry the revision they were planned under, and a daemon
-//! in possession of another revision refuses the message.
+//! An index is only meaningful for the document that it came from. Messages that contain
+//! indices also contain the revision they refer to, and a daemon that has another revision
+//! rejects them.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -12,9 +12,9 @@
 
 /// An index into a [`Table`].
 pub trait Entity: Copy + Eq {
-    /// Makes the entity for a position.
+    /// Creates the entity with the given index.
     fn from_index(index: usize) -> Self;
-    /// Returns the position of this entity.
+    /// Returns the index of this entity.
     fn index(self) -> usize;
 }
 
@@ -26,7 +26,10 @@
 
         impl Entity for $name {
             fn from_index(index: usize) -> Self {
-                Self(u32::try_from(index).expect("a document holds fewer than 2^32 entities"))
+                Self(
+                    u32::try_from(index)
+                        .expect("a document has fewer than 2^32 entities of a kind"),
+                )
             }
 
             fn index(self) -> usize {
@@ -50,11 +53,11 @@
 
 entity!(Workspace, "ws", "A tenant's workspace in a document.");
 entity!(Service, "svc", "A service of a workspace.");
-entity!(Shard, "shard", "A shard of any service, numbered over the whole document.");
-entity!(Searcher, "searcher", "A searcher, numbered over the whole document.");
-entity!(Cell, "cell", "A group of shards whose searchers share one set of homes.");
+entity!(Shard, "shard", "A shard of any service, numbered across the document.");
+entity!(Searcher, "searcher", "A searcher, numbered across the document.");
+entity!(Cell, "cell", "A group of shards whose searchers have the same homes.");
 
-/// A vector that can only be indexed by its own entity.
+/// A vector that is indexed by one type of entity only.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Table<K, V> {
     rows: Vec<V>,
@@ -62,19 +65,20 @@
 }
 
 impl<K: Entity, V> Table<K, V> {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self { rows: Vec::new(), key: PhantomData }
     }
 
-    /// Appends a row and returns the entity that names it.
+    /// Appends a row and returns its entity.
     pub fn push(&mut self, row: V) -> K {
         let key = K::from_index(self.rows.len());
         self.rows.push(row);
         key
     }
 
-    /// Returns the row of an entity, or nothing where the entity is foreign.
+    /// Returns the row of an entity, or `None` if the index is out of range, as an entity of
+    /// another document may be.
     pub fn get(&self, key: K) -> Option<&V> {
         self.rows.get(key.index())
     }
@@ -84,7 +88,7 @@
         self.rows.len()
     }
 
-    /// Tells whether the table has no rows.
+    /// Returns whether the table has no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,8 @@
-//! Identifiers, deadlines, faults and seeded randomness shared by every duty.
+//! Identifiers, deadlines, error context and seeded randomness shared by all daemons.
 //!
-//! The crate holds only what several duties need and none owns. Entities are
-//! typed indices into the tables of one configuration document, so that a
-//! searcher can't be mistaken for a shard; see `docs/GLOSSARY.md`.
+//! The crate contains only what several other crates need and none of them owns. Entities
+//! are typed indices into the tables of one configuration document, so that a searcher
+//! cannot be confused with a shard; see `docs/GLOSSARY.md`.
 
 mod awake;
 mod budget;
@@ -26,17 +26,17 @@
 pub use seed::Seed;
 pub use tasks::{Tasks, message};
 
-/// A shared immutable name, cheap to clone into messages and logs.
+/// A shared immutable string, cheap to clone into messages and logs.
 pub type Name = std::sync::Arc<str>;
 
 /// The revision of a configuration document.
 pub type Revision = u64;
 
-/// The version of an index that a searcher holds.
+/// The version of an index that a searcher serves.
 pub type Version = u64;
 
 /// The epoch of a service's partition map.
 pub type Epoch = u64;
 
-/// The number that tells one run of a daemon from its next run at the same address.
+/// A number that distinguishes successive runs of a daemon at the same address.
 pub type Incarnation = u64;
--- a/crates/base/src/position.rs
+++ b/crates/base/src/position.rs
@@ -1,33 +1,34 @@
-//! A position in the changes of a store that may be restored from a copy.
+//! Positions in the change history of a store that may be restored from a backup.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A position in the changes of a store.
+/// A position in the change history of a store.
 ///
-/// A store that comes back from a copy gives its revisions out again, so that a revision alone
-/// says nothing: it belongs to an era. The era goes first in the order, so that all of a later one
-/// comes after all of an earlier one. See `docs/design/0016-restored-stores.md`.
+/// A store that has been restored from a backup assigns the same revisions again, so a revision
+/// is only unique together with the era, the number of restores before it. Positions are ordered
+/// by era first, so that every position of a later era follows all positions of earlier ones. See
+/// `docs/design/0016-restored-stores.md`.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// How often the store has been restored, by its own count; zero if it doesn't say.
+    /// The number of restores reported by the store, or zero if it reports none.
     pub era: u64,
-    /// The store's revision within the era; zero for nothing.
+    /// The revision of the store within the era, or zero before the first change.
     pub revision: u64,
 }
 
 impl Position {
-    /// Tells whether nothing is known up to here.
+    /// Returns whether this is the position before the first change.
     pub fn is_start(self) -> bool {
         self.revision == 0
     }
 }
 
 impl From<u64> for Position {
-    /// A revision of a store that names no era.
+    /// Converts a revision of a store that reports no era.
     fn from(revision: u64) -> Self {
         Self { era: 0, revision }
     }
--- a/crates/base/src/pulse.rs
+++ b/crates/base/src/pulse.rs
@@ -1,33 +1,33 @@
-//! Detection of a process that slept.
+//! Detection of pauses of the process.
 //!
-//! A process that is stopped and continued can't tell by itself: its timers just
-//! fire late. [`Pulse`] is beaten at a steady period, and a gap well above that
-//! period means that everything believed before the gap is suspect.
+//! A process that is stopped and continued is not notified of it; its timers only fire
+//! late. [`Pulse`] is called at a fixed period. A gap well above that period means that the
+//! process was paused and that its view of other members may be outdated.
 
 use std::time::{Duration, Instant};
 
-/// A steady beat that notices when the process was paused.
+/// Detects pauses of the process from the gaps between periodic ticks.
 #[derive(Clone, Debug)]
 pub struct Pulse {
     last: Instant,
-    longest: Duration,
+    threshold: Duration,
 }
 
 impl Pulse {
-    /// Starts a pulse that takes gaps above `longest` for a pause.
-    pub fn new(now: Instant, longest: Duration) -> Self {
-        Self { last: now, longest }
+    /// Creates a detector that treats gaps above `threshold` as pauses.
+    pub fn new(now: Instant, threshold: Duration) -> Self {
+        Self { last: now, threshold }
     }
 
-    /// Records a beat and returns the gap where the process slept before it.
+    /// Records a tick; returns the gap before it if the process was paused.
     pub fn beat(&mut self, now: Instant) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.last);
         self.last = now;
-        (gap > self.longest).then_some(gap)
+        (gap > self.threshold).then_some(gap)
     }
 
-    /// Tells whether the process has slept since the last beat, without beating.
+    /// Returns whether the process has been paused since the last tick, without recording one.
     pub fn slept(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last) > self.longest
+        now.saturating_duration_since(self.last) > self.threshold
     }
 }
--- a/crates/base/src/tasks.rs
+++ b/crates/base/src/tasks.rs
@@ -1,10 +1,10 @@
-//! The long-lived tasks of a process, watched.
+//! Supervision of the long-lived tasks of a process.
 //!
-//! A runtime goes on when one of its tasks panics. A process whose follower, prober or listener
-//! is gone would look ready and learn nothing more, for as long as it runs. Invariant: a
-//! watched task that ends although nobody asked it to is logged with its cause, and whoever
-//! waits for [`Tasks::failed`] hears of it, to stop the process as planned; all of its state is
-//! soft, so the run that follows it has it again within seconds.
+//! The runtime keeps running when a task panics. A process that has lost its follower, prober
+//! or listener would still appear ready but receive no further updates. Invariant: a supervised
+//! task that ends without a stop request is logged with its cause and completes
+//! [`Tasks::failed`], upon which the process is to shut down gracefully. Its state is soft, so
+//! that its next run rebuilds it within seconds.
 
 use std::any::Any;
 
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// The long-lived tasks of a process.
+/// Supervises the long-lived tasks of a process.
 #[derive(Clone, Debug)]
 pub struct Tasks {
     stop: CancellationToken,
@@ -20,18 +20,20 @@
 }
 
 impl Tasks {
-    /// Watches tasks until `stop`, after which they may end.
+    /// Creates a supervisor whose tasks may end only after `stop` is cancelled.
     pub fn new(stop: CancellationToken) -> Self {
         Self { stop, failed: watch::Sender::new(false) }
     }
 
-    /// Watches further tasks, until another stop, as tasks of the same process.
+    /// Creates a supervisor with another stop token that reports failures to the same process.
     #[must_use]
     pub fn until(&self, stop: CancellationToken) -> Self {
         Self { stop, failed: self.failed.clone() }
     }
 
-    /// Starts a task that must not end before the stop; what is returned ends with it.
+    /// Spawns a task that must not end before the stop token is cancelled.
+    ///
+    /// The returned handle completes when the task has ended.
     pub fn spawn(
         &self,
         name: &'static str,
@@ -39,12 +41,12 @@
     ) -> JoinHandle<()> {
         let (tasks, task) = (self.clone(), tokio::spawn(task));
         tokio::spawn(async move {
-            let ended = task.await;
+            let result = task.await;
             if tasks.stop.is_cancelled() {
                 return;
             }
-            let cause = match ended {
-                Ok(()) => "it returned".to_owned(),
+            let cause = match result {
+                Ok(()) => "the task returned before it was stopped".to_owned(),
                 Err(error) => error
                     .try_into_panic()
                     .map_or_else(|error| error.to_string(), |panic| message(&*panic)),
@@ -54,22 +56,22 @@
         })
     }
 
-    /// Tells whether a task has ended that must not.
+    /// Returns whether a task has ended before it was stopped.
     pub fn has_failed(&self) -> bool {
         *self.failed.borrow()
     }
 
-    /// Waits until a task has ended that must not.
+    /// Waits until a task has ended before it was stopped.
     pub async fn failed(&self) {
         let mut failed = self.failed.subscribe();
-        // The sender lives as long as self, so waiting can't fail.
+        // This cannot fail, because `self` owns the sender.
         let _ = failed.wait_for(|failed| *failed).await;
     }
 }
 
-/// Returns what a panic says.
+/// Returns the message of a panic payload.
 pub fn message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
     let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-    text.unwrap_or_else(|| "it panicked without a text".to_owned())
+    text.unwrap_or_else(|| "panic with a payload that is not a string".to_owned())
 }
--- a/crates/base/tests/base.rs
+++ b/crates/base/tests/base.rs
@@ -1,11 +1,11 @@
-//! Tests of the shared foundations.
+//! Tests of deadlines, pause detection, tables and hashes.
 
 use std::time::{Duration, Instant};
 
 use bergamot_base::{Deadline, Entity, Pulse, Searcher, Shard, Table, hash_parts};
 
 #[test]
-fn deadline_never_grows_when_a_margin_is_taken() {
+fn subtracting_a_margin_makes_a_deadline_earlier() {
     let now = Instant::now();
     let deadline = Deadline::after(now, Duration::from_millis(50));
     let inner = deadline.less(Duration::from_millis(10));
@@ -15,19 +15,19 @@
 }
 
 #[test]
-fn pulse_reports_only_gaps_above_its_limit() {
+fn only_gaps_above_the_threshold_are_reported() {
     let start = Instant::now();
-    let mut pulse = Pulse::new(start, Duration::from_millis(100));
+    let mut detector = Pulse::new(start, Duration::from_millis(100));
     let later = start + Duration::from_millis(90);
-    assert_eq!(pulse.beat(later), None);
-    let woken = later + Duration::from_secs(5);
-    assert!(pulse.slept(woken));
-    assert_eq!(pulse.beat(woken), Some(Duration::from_secs(5)));
-    assert_eq!(pulse.beat(woken + Duration::from_millis(50)), None);
+    assert_eq!(detector.beat(later), None);
+    let resumed = later + Duration::from_secs(5);
+    assert!(detector.slept(resumed));
+    assert_eq!(detector.beat(resumed), Some(Duration::from_secs(5)));
+    assert_eq!(detector.beat(resumed + Duration::from_millis(50)), None);
 }
 
 #[test]
-fn table_rows_are_named_in_order() {
+fn table_entities_are_numbered_in_order() {
     let mut table = Table::<Shard, &str>::new();
     let first = table.push("a");
     let second = table.push("b");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn hash_of_parts_depends_on_their_borders() {
+fn hash_of_parts_depends_on_their_boundaries() {
     let left: [&[u8]; 2] = [b"ab", b"c"];
     let right: [&[u8]; 2] = [b"a", b"bc"];
     assert_ne!(hash_parts(left), hash_parts(right));
--- a/crates/base/tests/tasks.rs
+++ b/crates/base/tests/tasks.rs
@@ -1,32 +1,37 @@
-//! A long-lived task that ends is noticed, and one that was asked to end is no failure.
+//! A supervised task that ends without a stop request is reported as a failure; one that was
+//! stopped is not.
 
 use std::time::Duration;
 
 use bergamot_base::Tasks;
 use tokio_util::sync::CancellationToken;
 
-/// How long the news of an end may take.
-const SOON: Duration = Duration::from_secs(5);
+/// The time limit for the detection of a failure.
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[tokio::test]
 async fn a_task_that_panics_is_a_failure_of_the_process() {
     let tasks = Tasks::new(CancellationToken::new());
-    let _going_on = tasks.spawn("other", std::future::pending());
+    let _running = tasks.spawn("other", std::future::pending());
     assert!(!tasks.has_failed());
     let _ended = tasks.spawn("reader", async { panic!("a record of {} bytes", 7) });
-    tokio::time::timeout(SOON, tasks.failed()).await.expect("the end is noticed");
+    tokio::time::timeout(DETECTION_TIMEOUT, tasks.failed()).await.expect("the failure is detected");
     assert!(tasks.has_failed());
 }
 
 #[tokio::test]
-async fn a_task_that_returns_although_nobody_asked_is_a_failure_too() {
+async fn a_task_that_returns_without_a_stop_request_is_a_failure() {
     let tasks = Tasks::new(CancellationToken::new());
-    tasks.until(CancellationToken::new()).spawn("listener", async {}).await.expect("it ends");
-    tokio::time::timeout(SOON, tasks.failed()).await.expect("the end is noticed");
+    tasks
+        .until(CancellationToken::new())
+        .spawn("listener", async {})
+        .await
+        .expect("the supervision ends without a panic");
+    tokio::time::timeout(DETECTION_TIMEOUT, tasks.failed()).await.expect("the failure is detected");
 }
 
 #[tokio::test]
-async fn a_task_may_end_once_its_stop_has_come() {
+async fn a_task_may_end_after_its_stop_request() {
     let (stop, close) = (CancellationToken::new(), CancellationToken::new());
     let tasks = Tasks::new(stop);
     let listener = close.clone();
@@ -34,6 +39,6 @@
         listener.cancelled().await;
     });
     close.cancel();
-    listening.await.expect("it ends");
+    listening.await.expect("the supervision ends without a panic");
     assert!(!tasks.has_failed());
 }
