--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client: one connection, one exchange at a time.
+//! A minimal HTTP client that handles one exchange at a time on a single connection.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -13,27 +13,27 @@
 
 use crate::dial::{Fault, dial};
 
-/// A whole reply in memory.
+/// A complete reply in memory.
 pub type Reply = Response<Bytes>;
 
-/// The largest reply that is read, in bytes.
-const LARGEST: usize = 64 << 20;
+/// The maximum size of a reply body in bytes.
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// How long a reply may come in: a megabyte over a tenth of the slowest links (14 Mbit/s),
-/// with a third more where it is base64.
+/// The default timeout for a reply body: enough for one megabyte, a third more when encoded as
+/// base64, over a tenth of the capacity of the slowest links (14 Mbit/s).
 pub const LONGEST_REPLY: Duration = Duration::from_secs(8);
 
-/// How long an exchange may take, told by its progress.
+/// The timeouts for the phases of an exchange.
 ///
-/// A bound on the whole of an exchange is a bound on the size of its reply: over a slow link a
-/// large one is cut each time, at the same place, and never read.
+/// A single timeout for the whole exchange would limit the size of the reply: over a slow link,
+/// a large reply would be aborted at the same point on each attempt and never be received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// How long the head of the reply may take.
+    /// The timeout for receiving the reply head.
     pub head: Duration,
-    /// How long nothing may come in midway.
+    /// The maximum time without data while the body is received.
     pub silence: Duration,
-    /// How long the body may take, against a server that never ends.
+    /// The timeout for the whole body, in case the server never ends it.
     pub body: Duration,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Client {
-    /// Dials a server.
+    /// Connects to a server from the address `local`.
     pub async fn connect(
         local: Ipv4Addr,
         remote: SocketAddr,
@@ -59,41 +59,42 @@
         Ok(Self { remote, sender })
     }
 
-    /// Tells whether the connection can take another request.
+    /// Returns whether the connection can be used for another request.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request and reads the whole reply.
+    /// Sends a request and reads the complete reply.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, Fault> {
-        let (parts, body) = self.head(request).await?.into_parts();
-        let whole = Limited::new(body, LARGEST)
+        let (parts, body) = self.send_for_head(request).await?.into_parts();
+        let body = Limited::new(body, MAX_REPLY_BYTES)
             .collect()
             .await
             .map_err(|error| Fault::new("read reply", self.remote, error))?;
-        Ok(Response::from_parts(parts, whole.to_bytes()))
+        Ok(Response::from_parts(parts, body.to_bytes()))
     }
 
-    /// Sends a request and reads the reply for as long as it comes in.
+    /// Sends a request and reads the complete reply within the given timeouts.
     ///
-    /// `arriving` hears when the reply has begun. A fault says how much of it had come in.
+    /// Calls `on_head` when the reply head has been received. If the body fails, the error
+    /// states how many bytes had been received.
     pub async fn send_within(
         &mut self,
         request: Request<Full<Bytes>>,
         bounds: Bounds,
-        arriving: impl FnOnce(),
+        on_head: impl FnOnce(),
     ) -> Result<Reply, Fault> {
         let remote = self.remote;
-        let head = tokio::time::timeout(bounds.head, self.head(request)).await;
-        let head = head.map_err(|elapsed| Fault::new("read head of reply", remote, elapsed))??;
-        arriving();
+        let head = tokio::time::timeout(bounds.head, self.send_for_head(request)).await;
+        let head = head.map_err(|elapsed| Fault::new("read reply head", remote, elapsed))??;
+        on_head();
         let (parts, body) = head.into_parts();
-        let mut body = Limited::new(body, LARGEST);
+        let mut body = Limited::new(body, MAX_REPLY_BYTES);
         let mut bytes = BytesMut::new();
-        let end = Instant::now() + bounds.body;
+        let body_deadline = Instant::now() + bounds.body;
         loop {
-            let until = end.min(Instant::now() + bounds.silence);
-            let frame = tokio::time::timeout_at(until, body.frame()).await;
+            let frame_deadline = body_deadline.min(Instant::now() + bounds.silence);
+            let frame = tokio::time::timeout_at(frame_deadline, body.frame()).await;
             let fault = |cause: &dyn std::fmt::Display| {
                 let cause = format!("{cause} after {} bytes", bytes.len());
                 Fault::new("read reply", remote, cause)
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Sends a request and reads the head of the reply.
-    async fn head(
+    /// Sends a request and reads the reply head.
+    async fn send_for_head(
         &mut self,
         mut request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Fault> {
@@ -124,7 +125,10 @@
     }
 }
 
-/// Fetches a path over a connection of its own; the server may be silent for `silence`.
+/// Fetches a path over a new connection.
+///
+/// `silence` limits the time for the connection, for the reply head and between parts of the
+/// body; the whole body may take up to [`LONGEST_REPLY`].
 pub async fn fetch(
     local: Ipv4Addr,
     remote: SocketAddr,
@@ -133,7 +137,7 @@
 ) -> Result<Reply, Fault> {
     let request = Request::get(path)
         .body(Full::default())
-        .map_err(|error| Fault::new("make request", remote, error))?;
+        .map_err(|error| Fault::new("build request", remote, error))?;
     let mut client = Client::connect(local, remote, silence).await?;
     let bounds = Bounds { head: silence, silence, body: LONGEST_REPLY };
     client.send_within(request, bounds, || {}).await
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opening sockets, with errors that name the step and the peer.
+//! TCP connections and listeners, with errors that name the failed operation and the peer.
 
 use std::fmt;
 use std::io;
@@ -9,28 +9,28 @@
 use snafu::Snafu;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// An error of the network.
+/// A network error.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} {peer}: {cause}"))]
 pub struct Fault {
-    /// What was being done.
+    /// The operation that failed.
     pub step: Step,
-    /// With whom.
+    /// The remote peer.
     pub peer: Peer,
-    /// What went wrong.
+    /// The cause of the error.
     pub cause: String,
-    /// Whether the peer's machine said that nobody listens there.
+    /// Whether the peer's host refused the connection because no process listens on the port.
     pub refused: bool,
 }
 
 impl Fault {
-    /// Describes an error.
+    /// Creates an error that is not a refused connection.
     pub fn new(step: &'static str, peer: impl Into<Peer>, cause: impl fmt::Display) -> Self {
         Self { step: Step(step), peer: peer.into(), cause: cause.to_string(), refused: false }
     }
 }
 
-/// Dials from the instance's own address within a timeout.
+/// Opens a connection with the source address `local`, which is the instance's own.
 pub async fn dial(
     local: Ipv4Addr,
     remote: SocketAddr,
@@ -50,7 +50,7 @@
     Ok(stream)
 }
 
-/// Listens at an address.
+/// Opens a listener on an address.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, Fault> {
     TcpListener::bind(address).await.map_err(|error| Fault::new("listen", address, error))
 }
--- a/crates/net/src/hop.rs
+++ b/crates/net/src/hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection and must not be passed on.
+//! Hop-by-hop headers, which must not be forwarded.
 
 use hyper::HeaderMap;
 use hyper::header::{
@@ -6,9 +6,9 @@
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// The headers that concern one connection whether or not `Connection` names them, and the
-/// length, which follows from the body that is passed on.
-const HOP: [HeaderName; 9] = [
+/// The headers that are hop-by-hop even if `Connection` does not list them, and the content
+/// length, which is recomputed from the forwarded body.
+const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -20,16 +20,16 @@
     UPGRADE,
 ];
 
-/// Removes the headers that concern one connection, those that `Connection` names included.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub fn strip_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,9 +1,9 @@
-//! Dialling, listening and HTTP plumbing shared by daemons and stand-ins.
+//! TCP connections, HTTP clients and HTTP servers shared by daemons and test doubles.
 //!
-//! Everything here is thin: `tokio` opens sockets and `hyper` speaks HTTP. The crate
-//! makes sure that each error names its step and its peer, that connections leave
-//! from the instance's own address, and that a listener can stop without cutting an
-//! exchange in flight.
+//! This is a thin layer over the sockets of `tokio` and the HTTP implementation of `hyper`.
+//! It ensures that each error names the failed operation and the peer, that outgoing
+//! connections use the instance's own address as their source, and that a server can shut
+//! down without interrupting exchanges in flight.
 
 mod client;
 mod dial;
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP with a stop that cuts no exchange in flight.
+//! An HTTP server with graceful shutdown.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -17,16 +17,16 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// How long a listener waits after it could not accept a connection: descriptors become free
-/// as other connections end.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept. If the process has run out of file descriptors, some become
+/// available as other connections are closed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The body of every reply: whole and in memory.
+/// The body of a response, held in memory.
 pub type Body = Full<Bytes>;
 
-/// Accepts connections until `stop`, then finishes the exchanges in flight.
+/// Accepts connections until `stop` is cancelled, then completes the exchanges in flight.
 ///
-/// Returns once the last connection is closed.
+/// Returns when the last connection has been closed.
 pub async fn serve<H, F>(listener: TcpListener, stop: CancellationToken, handler: H)
 where
     H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + Sync + 'static,
@@ -42,17 +42,18 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!("net: event=accept_failed cause=\"{error}\"");
-                // Without a free descriptor the next try fails at once too.
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                // While no file descriptor is free, an immediate retry would fail as well.
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        // Without it, small replies wait for acknowledgements; failure only costs time.
+        // Without this, small responses are delayed until earlier data is acknowledged. A failure
+        // costs only latency.
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let reply = handler(request, peer);
-            async move { Ok::<_, Infallible>(reply.await) }
+            let response = handler(request, peer);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let stop = stop.clone();
         tracker.spawn(async move {
@@ -60,15 +61,15 @@
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), service);
             let mut connection = std::pin::pin!(connection);
-            let ended = tokio::select! {
-                ended = connection.as_mut() => ended,
+            let result = tokio::select! {
+                result = connection.as_mut() => result,
                 () = stop.cancelled() => {
                     connection.as_mut().graceful_shutdown();
                     connection.await
                 }
             };
-            if let Err(error) = ended {
-                log::debug!("net: Connection from {peer} ended: {error}.");
+            if let Err(error) = result {
+                log::debug!("net: connection from {peer} failed: {error}");
             }
         });
     }
@@ -77,12 +78,12 @@
     tracker.wait().await;
 }
 
-/// Why a request's body was not taken.
+/// The reason why a request body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// The caller stopped sending.
+    /// The connection failed before the end of the body.
     Cut,
 }
 
@@ -95,28 +96,32 @@
     }
 }
 
-/// Reads the whole body of a request, up to a limit.
+/// Reads the complete body of a request, up to `limit` bytes.
 pub async fn read_body(request: Request<Incoming>, limit: usize) -> Result<Bytes, Rejection> {
     match Limited::new(request.into_body(), limit).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Rejection::TooLarge),
-        Err(_cut) => Err(Rejection::Cut),
+        Err(_) => Err(Rejection::Cut),
     }
 }
 
-/// Makes a JSON reply.
+/// Creates a JSON response.
 pub fn json(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
-    reply(status, body, "application/json")
+    response(status, body, "application/json")
 }
 
-/// Makes a plain text reply.
+/// Creates a plain text response.
 pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
-    reply(status, body, "text/plain; charset=utf-8")
+    response(status, body, "text/plain; charset=utf-8")
 }
 
-fn reply(status: StatusCode, body: impl Into<Bytes>, kind: &'static str) -> Response<Body> {
+fn response(
+    status: StatusCode,
+    body: impl Into<Bytes>,
+    content_type: &'static str,
+) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
