--- a/crates/logger/src/changes.rs
+++ b/crates/logger/src/changes.rs
@@ -1,73 +1,78 @@
-//! Many changes of one kind in few lines.
+//! Aggregation of changes into a bounded number of log lines.
 //!
-//! A member hears of each change of each searcher, and so do all the others: told one by one,
-//! a repartitioning of 1,350 searchers was a thousand lines a second at each of 295 members.
-//! Here changes are counted by kind for a second and told in one line each, with the first
-//! names. A member that is the first to hear of them tells all names, many to a line.
-//! Invariant: whatever changes, the lines of a second are bounded, and what is kept for them.
+//! Every member is notified of every change of every searcher. With one line per change, a
+//! repartitioning of 1,350 searchers caused a thousand lines a second at each of 295 members.
+//! Changes are therefore counted by kind for a second and logged as one line per kind, with
+//! the first few names. A member that is the first to learn of changes logs all names, many
+//! per line. Invariant: the number of lines per second and the memory for pending names are
+//! bounded regardless of the number of changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// How long changes are gathered after the last lines; the first after a quiet time is told at once.
-const GATHERED: Duration = Duration::from_secs(1);
+/// The minimum time between two batches of lines. A change that occurs later than this after the
+/// last batch is logged at once.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many names a line holds where not all are told.
-const FEW: usize = 3;
+/// The number of names per line when only the first names are logged.
+const NAMES_PER_SUMMARY: usize = 3;
 
-/// How many names a line holds where all are told: less than a kilobyte.
-const PER_LINE: usize = 40;
+/// The number of names per line when all names are logged, which keeps a line below a kilobyte.
+const NAMES_PER_LINE: usize = 40;
 
-/// The most lines at once: an operator can still read a second of them.
-const MOST_LINES: usize = 15;
+/// The maximum number of lines per batch, so that an operator can still read the log as it is
+/// written.
+const MAX_LINES_PER_BATCH: usize = 15;
 
-/// The most names of one kind that wait to be told: a fleet of 9,100 searchers that is listed.
-const MOST_NAMES: usize = 16_384;
+/// The maximum number of pending names per kind, enough for the initial listing of a fleet of
+/// 9,100 searchers.
+const MAX_PENDING_NAMES: usize = 16_384;
 
-/// Changes of one kind.
+/// The pending changes of one kind.
 #[derive(Debug, Default)]
 struct Group {
     count: usize,
     names: VecDeque<String>,
 }
 
-/// The changes that are still to be told.
+/// Aggregates changes by kind until they are logged.
 #[derive(Debug, Default)]
 pub struct Changes {
     groups: BTreeMap<&'static str, Group>,
-    told: Option<Instant>,
+    last_flush: Option<Instant>,
     oldest: Option<Instant>,
 }
 
 impl Changes {
-    /// Notes a change of a kind.
+    /// Records a change of the given kind.
     pub fn note(&mut self, now: Instant, kind: &'static str, name: impl fmt::Display) {
         let group = self.groups.entry(kind).or_default();
         group.count += 1;
-        if group.names.len() < MOST_NAMES {
+        if group.names.len() < MAX_PENDING_NAMES {
             group.names.push_back(name.to_string());
         }
         self.oldest.get_or_insert(now);
     }
 
-    /// Tells whether there are lines to be written.
+    /// Returns whether there are changes to be logged at `now`.
     pub fn is_due(&self, now: Instant) -> bool {
-        self.oldest.is_some() && self.told.is_none_or(|told| now >= told + GATHERED)
+        self.oldest.is_some() && self.last_flush.is_none_or(|last| now >= last + FLUSH_INTERVAL)
     }
 
-    /// Returns the lines that are due: what happened how often to whom, and since when.
+    /// Returns the lines that are due, with the count and names of each kind and the age of the
+    /// oldest pending change.
     ///
-    /// `all` tells every name, over as many seconds as it takes.
+    /// If `all` is set, every name is logged, spread over as many batches as necessary.
     pub fn take(&mut self, now: Instant, all: bool) -> Vec<String> {
         let Some(oldest) = self.oldest.filter(|_| self.is_due(now)) else {
             return Vec::new();
         };
-        self.told = Some(now);
+        self.last_flush = Some(now);
         let age = now.saturating_duration_since(oldest).as_millis();
         let mut lines = Vec::new();
         for (kind, group) in &mut self.groups {
-            while group.count > 0 && lines.len() < MOST_LINES {
+            while group.count > 0 && lines.len() < MAX_LINES_PER_BATCH {
                 lines.push(group.line(kind, age, all));
             }
         }
@@ -80,17 +85,18 @@
 }
 
 impl Group {
-    /// Takes the next line: of some names where all are told, else of the whole group.
+    /// Formats the next line and removes what it covers: a batch of names if `all` is set,
+    /// otherwise the whole group.
     fn line(&mut self, kind: &str, age: u128, all: bool) -> String {
-        let named = self.names.len().min(if all { PER_LINE } else { FEW });
-        let names: Vec<String> = self.names.drain(..named).collect();
-        let whole = !all || self.names.is_empty();
-        let count = if whole { self.count } else { named };
-        if whole {
+        let name_count = self.names.len().min(if all { NAMES_PER_LINE } else { NAMES_PER_SUMMARY });
+        let names: Vec<String> = self.names.drain(..name_count).collect();
+        let is_last = !all || self.names.is_empty();
+        let count = if is_last { self.count } else { name_count };
+        if is_last {
             self.names.clear();
         }
         self.count -= count;
-        let (more, names) = (count - named, names.join(","));
+        let (more, names) = (count - name_count, names.join(","));
         format!("kind={kind} count={count} names={names} more={more} since_ms={age}")
     }
 }
--- a/crates/logger/src/lib.rs
+++ b/crates/logger/src/lib.rs
@@ -1,9 +1,10 @@
-//! Structured log lines that never hold up a request.
+//! Structured logging that never blocks a request.
 //!
-//! Lines are formatted where they arise and put into a bounded queue; one thread writes them
-//! out ([`start`]). What does not fit is dropped and counted, and the count is written with
-//! the next lines. Ordinary successes go through a [`Sampler`], which lets a settled rate of
-//! them through and says how many it left out; many changes at once are gathered ([`Changes`]). See `docs/OPERATIONS.md`.
+//! Log lines are formatted by the logging thread and put into a bounded queue, which a single
+//! writer thread empties ([`start`]). Lines that do not fit are dropped, and their count is
+//! logged with the next lines. [`Sampler`] limits the rate of routine events and counts the
+//! suppressed ones. [`Changes`] aggregates bursts of changes into a few lines. See
+//! `docs/OPERATIONS.md`.
 
 mod changes;
 mod queue;
--- a/crates/logger/src/queue.rs
+++ b/crates/logger/src/queue.rs
@@ -1,6 +1,7 @@
-//! The bounded queue between those who log and the thread that writes.
+//! The bounded queue between the logging threads and the writer thread.
 //!
-//! Invariant: logging never waits for the output; the queue holds at most [`MOST`] lines.
+//! Invariant: logging never blocks on the output, and the queue holds at most [`MAX_QUEUED_LINES`]
+//! lines.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -8,11 +9,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// How many lines wait at most: some seconds of a process in trouble, below a megabyte.
-pub const MOST: usize = 4096;
+/// The maximum number of queued lines: several seconds of output from a failing process, in less
+/// than a megabyte of memory.
+pub const MAX_QUEUED_LINES: usize = 4096;
 
-/// How often the writer looks for lines. Each look costs a wake-up.
-const LOOK: Duration = Duration::from_millis(50);
+/// The interval at which the writer thread polls the queue; each poll wakes up the thread.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
 struct State {
@@ -27,7 +29,7 @@
 }
 
 impl Queue {
-    /// Writes all waiting lines, with a line about those that were dropped.
+    /// Writes all queued lines, followed by the number of dropped lines, if any.
     pub fn drain(&self, out: &mut impl Write) -> io::Result<()> {
         let (lines, dropped) = {
             let mut state = self.lock();
@@ -50,7 +52,7 @@
 impl Write for Queue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let mut state = self.lock();
-        if state.lines.len() < MOST {
+        if state.lines.len() < MAX_QUEUED_LINES {
             state.lines.push_back(buf.to_vec());
         } else {
             state.dropped += 1;
@@ -63,9 +65,9 @@
     }
 }
 
-/// Starts logging to standard output, one line a record, and returns the queue.
+/// Starts logging to standard output, with one line per record, and returns the queue.
 ///
-/// `filter` says what is logged unless `RUST_LOG` does.
+/// `filter` is the log filter that applies if `RUST_LOG` is not set.
 pub fn start(filter: &str) -> Queue {
     let queue = Queue::default();
     let format = |buffer: &mut env_logger::fmt::Formatter, record: &log::Record<'_>| {
@@ -79,8 +81,8 @@
     let writer = queue.clone();
     thread::spawn(move || {
         loop {
-            thread::sleep(LOOK);
-            // Nobody can be told that the output is gone; the process goes on without it.
+            thread::sleep(POLL_INTERVAL);
+            // There is nowhere to report a failure of the output, so the process continues without it.
             let _ = writer.drain(&mut io::stdout().lock());
         }
     });
--- a/crates/logger/src/sampler.rs
+++ b/crates/logger/src/sampler.rs
@@ -1,37 +1,39 @@
-//! A bound on how often ordinary events are logged.
+//! Rate limiting of routine log events.
 //!
-//! Invariant: in any whole second of the sampler's clock at most `rate` events are admitted,
-//! and every admitted one says how many were left out since the one before.
+//! Invariant: at most `rate` events are admitted in each one-second window, and each admitted
+//! event comes with the number of events suppressed since the previous one.
 
 use std::time::{Duration, Instant};
 
-/// A bound on how often ordinary events are logged.
+/// Limits the rate at which routine events are logged.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     rate: u32,
-    second: Option<Instant>,
+    window_start: Option<Instant>,
     admitted: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl Sampler {
-    /// Makes a sampler that admits `rate` events a second.
+    /// Creates a sampler that admits `rate` events per second.
     pub fn new(rate: u32) -> Self {
-        Self { rate, second: None, admitted: 0, left_out: 0 }
+        Self { rate, window_start: None, admitted: 0, suppressed: 0 }
     }
 
-    /// Admits an event and says how many were left out before it, or leaves it out.
+    /// Admits an event and returns the number suppressed before it, or returns `None` to suppress
+    /// the event.
     pub fn admit(&mut self, now: Instant) -> Option<u64> {
-        let fresh = self.second.is_none_or(|second| now >= second + Duration::from_secs(1));
-        if fresh {
-            self.second = Some(now);
+        let is_new_window =
+            self.window_start.is_none_or(|start| now >= start + Duration::from_secs(1));
+        if is_new_window {
+            self.window_start = Some(now);
             self.admitted = 0;
         }
         if self.admitted >= self.rate {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
         self.admitted += 1;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
--- a/crates/logger/tests/changes.rs
+++ b/crates/logger/tests/changes.rs
@@ -1,4 +1,4 @@
-//! The lines of many changes: bounded, and nothing lost where all names are told.
+//! Aggregated log lines are bounded, and no name is lost when all names are logged.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -7,8 +7,9 @@
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// An index of 180 shards of three searchers is cut into 270: within 4 s 810 searchers come, 540
-/// drain and then go. Returns the lines with the second in which they were written.
+/// Simulates the repartitioning of an index from 180 to 270 shards with three searchers each: at
+/// 400 changes a second, 810 searchers become ready, then 540 drain and are removed. Returns each
+/// line with the second in which it was written.
 fn repartition(all: bool) -> Vec<(u64, String)> {
     let (start, mut changes) = (Instant::now(), Changes::default());
     let mut lines = Vec::new();
@@ -33,42 +34,42 @@
     words.find(|(name, _)| *name == key).map_or("", |(_, value)| value)
 }
 
-fn counted(lines: &[(u64, String)], kind: &str) -> usize {
+fn count_of(lines: &[(u64, String)], kind: &str) -> usize {
     let of_kind = lines.iter().filter(|(_, line)| value(line, "kind") == kind);
     of_kind.map(|(_, line)| value(line, "count").parse::<usize>().expect("a number")).sum()
 }
 
 #[test]
-fn a_repartition_takes_a_few_lines_at_each_member() {
+fn a_repartitioning_is_summarized_in_a_few_lines() {
     let lines = repartition(false);
     assert!(lines.len() <= 30, "{} lines", lines.len());
-    assert_eq!(counted(&lines, "ready"), 810);
-    assert_eq!(counted(&lines, "draining"), 540);
-    assert_eq!(counted(&lines, "missing"), 540);
+    assert_eq!(count_of(&lines, "ready"), 810);
+    assert_eq!(count_of(&lines, "draining"), 540);
+    assert_eq!(count_of(&lines, "missing"), 540);
     assert!(lines.iter().all(|(_, line)| line.len() < 200), "lines are short");
 }
 
 #[test]
-fn who_hears_of_it_first_names_every_searcher_in_a_bounded_number_of_lines() {
+fn every_searcher_is_named_in_a_bounded_number_of_lines() {
     let lines = repartition(true);
     for second in 0..20 {
         let now = lines.iter().filter(|(at, _)| *at == second).count();
         assert!(now < 20, "{now} lines in second {second}");
     }
-    assert_eq!(counted(&lines, "ready"), 810);
+    assert_eq!(count_of(&lines, "ready"), 810);
     let ready = lines.iter().filter(|(_, line)| value(line, "kind") == "ready");
     let names: BTreeSet<&str> =
         ready.flat_map(|(_, line)| value(line, "names").split(',')).collect();
-    assert_eq!(names.len(), 810, "each is named");
+    assert_eq!(names.len(), 810, "every searcher is named");
 }
 
 #[test]
-fn a_single_change_is_told_at_once() {
+fn a_single_change_is_logged_at_once() {
     let (now, mut changes) = (Instant::now(), Changes::default());
     changes.note(now, "gone", "i-7");
     assert_eq!(changes.take(now, false), ["kind=gone count=1 names=i-7 more=0 since_ms=0"]);
-    assert!(changes.take(now, false).is_empty(), "and once");
-    // The next one waits until a second is over.
+    assert!(changes.take(now, false).is_empty(), "each change is logged once");
+    // The next change is held back until the flush interval has passed.
     changes.note(now + TICK, "gone", "i-8");
     assert!(changes.take(now + TICK, false).is_empty());
     let later = changes.take(now + TICK * 11, false);
--- a/crates/logger/tests/logger.rs
+++ b/crates/logger/tests/logger.rs
@@ -1,4 +1,4 @@
-//! Logging is bounded, and says what it left out.
+//! Rate limiting and the bounded queue report what they suppress or drop.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use bergamot_logger::{Queue, Sampler};
 
 #[test]
-fn a_settled_rate_is_logged_and_the_rest_is_counted() {
+fn events_above_the_rate_are_suppressed_and_counted() {
     let (mut sampler, now) = (Sampler::new(3), Instant::now());
     let admitted: Vec<_> = (0..10).filter_map(|_| sampler.admit(now)).collect();
     assert_eq!(admitted, [0, 0, 0]);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_full_queue_drops_lines_and_says_how_many() {
+fn a_full_queue_drops_and_counts_lines() {
     let mut queue = Queue::default();
     for _ in 0..5000 {
         queue.write_all(b"line\n").expect("a queue takes every line");
