--- a/crates/base/src/budget.rs
+++ b/crates/base/src/budget.rs
@@ -33,7 +33,7 @@
     }
 
     /// Takes a token, and returns whether one was available.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let granted = self.tokens >= 1.0;
         if granted {
             self.tokens -= 1.0;
--- a/crates/base/src/deadline.rs
+++ b/crates/base/src/deadline.rs
@@ -16,18 +16,18 @@
     }
 
     /// Returns the time remaining at `now`, or zero if the deadline has passed.
-    pub fn left(self, now: Instant) -> Duration {
+    pub fn remaining(self, now: Instant) -> Duration {
         self.0.saturating_duration_since(now)
     }
 
     /// Returns whether the deadline has passed at `now`.
-    pub fn passed(self, now: Instant) -> bool {
+    pub fn has_passed(self, now: Instant) -> bool {
         self.0 <= now
     }
 
     /// Returns a deadline that is earlier by `margin`, which is reserved for later steps.
     #[must_use]
-    pub fn less(self, margin: Duration) -> Self {
+    pub fn with_margin(self, margin: Duration) -> Self {
         Self(self.0.checked_sub(margin).unwrap_or(self.0))
     }
 
--- a/crates/base/src/fault.rs
+++ b/crates/base/src/error_context.rs
@@ -28,7 +28,7 @@
     /// The caller of a request.
     Caller,
     /// The local process; no other party was involved.
-    Here,
+    Local,
 }
 
 impl From<SocketAddr> for Peer {
@@ -43,7 +43,7 @@
             Self::Address(address) => address.fmt(f),
             Self::File(path) => f.write_str(path),
             Self::Caller => f.write_str("caller"),
-            Self::Here => f.write_str("here"),
+            Self::Local => f.write_str("here"),
         }
     }
 }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -4,27 +4,27 @@
 //! are typed indices into the tables of one configuration document, so that a searcher
 //! cannot be confused with a shard; see `docs/GLOSSARY.md`.
 
-mod awake;
 mod budget;
 mod deadline;
-mod fault;
+mod error_context;
 mod hash;
 mod id;
+mod pause_detector;
+mod pause_gate;
 mod position;
-mod pulse;
 mod seed;
 mod tasks;
 
-pub use awake::Awake;
 pub use budget::Budget;
 pub use deadline::Deadline;
-pub use fault::{Peer, Step};
+pub use error_context::{Peer, Step};
 pub use hash::{hash_bytes, hash_pair, hash_parts};
 pub use id::{Cell, Entity, Searcher, Service, Shard, Table, Workspace};
+pub use pause_detector::PauseDetector;
+pub use pause_gate::PauseGate;
 pub use position::Position;
-pub use pulse::Pulse;
 pub use seed::Seed;
-pub use tasks::{Tasks, message};
+pub use tasks::{TaskSupervisor, panic_message};
 
 /// A shared immutable string, cheap to clone into messages and logs.
 pub type Name = std::sync::Arc<str>;
--- a/crates/base/src/tasks.rs
+++ b/crates/base/src/tasks.rs
@@ -3,8 +3,8 @@
 //! The runtime keeps running when a task panics. A process that has lost its follower, prober
 //! or listener would still appear ready but receive no further updates. Invariant: a supervised
 //! task that ends without a stop request is logged with its cause and completes
-//! [`Tasks::failed`], upon which the process is to shut down gracefully. Its state is soft, so
-//! that its next run rebuilds it within seconds.
+//! [`TaskSupervisor::wait_for_failure`], upon which the process is to shut down gracefully. Its
+//! state is soft, so that its next run rebuilds it within seconds.
 
 use std::any::Any;
 
@@ -14,12 +14,12 @@
 
 /// Supervises the long-lived tasks of a process.
 #[derive(Clone, Debug)]
-pub struct Tasks {
+pub struct TaskSupervisor {
     stop: CancellationToken,
     failed: watch::Sender<bool>,
 }
 
-impl Tasks {
+impl TaskSupervisor {
     /// Creates a supervisor whose tasks may end only after `stop` is cancelled.
     pub fn new(stop: CancellationToken) -> Self {
         Self { stop, failed: watch::Sender::new(false) }
@@ -27,7 +27,7 @@
 
     /// Creates a supervisor with another stop token that reports failures to the same process.
     #[must_use]
-    pub fn until(&self, stop: CancellationToken) -> Self {
+    pub fn with_stop(&self, stop: CancellationToken) -> Self {
         Self { stop, failed: self.failed.clone() }
     }
 
@@ -39,20 +39,20 @@
         name: &'static str,
         task: impl Future<Output = ()> + Send + 'static,
     ) -> JoinHandle<()> {
-        let (tasks, task) = (self.clone(), tokio::spawn(task));
+        let (supervisor, task) = (self.clone(), tokio::spawn(task));
         tokio::spawn(async move {
             let result = task.await;
-            if tasks.stop.is_cancelled() {
+            if supervisor.stop.is_cancelled() {
                 return;
             }
             let cause = match result {
                 Ok(()) => "the task returned before it was stopped".to_owned(),
                 Err(error) => error
                     .try_into_panic()
-                    .map_or_else(|error| error.to_string(), |panic| message(&*panic)),
+                    .map_or_else(|error| error.to_string(), |panic| panic_message(&*panic)),
             };
             log::error!("tasks: event=task_ended task={name} cause={cause:?}");
-            tasks.failed.send_replace(true);
+            supervisor.failed.send_replace(true);
         })
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Waits until a task has ended before it was stopped.
-    pub async fn failed(&self) {
+    pub async fn wait_for_failure(&self) {
         let mut failed = self.failed.subscribe();
         // This cannot fail, because `self` owns the sender.
         let _ = failed.wait_for(|failed| *failed).await;
@@ -70,7 +70,7 @@
 }
 
 /// Returns the message of a panic payload.
-pub fn message(panic: &(dyn Any + Send)) -> String {
+pub fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
     let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
     text.unwrap_or_else(|| "panic with a payload that is not a string".to_owned())
--- a/crates/base/tests/base.rs
+++ b/crates/base/tests/base.rs
@@ -2,28 +2,28 @@
 
 use std::time::{Duration, Instant};
 
-use bergamot_base::{Deadline, Entity, Pulse, Searcher, Shard, Table, hash_parts};
+use bergamot_base::{Deadline, Entity, PauseDetector, Searcher, Shard, Table, hash_parts};
 
 #[test]
 fn subtracting_a_margin_makes_a_deadline_earlier() {
     let now = Instant::now();
     let deadline = Deadline::after(now, Duration::from_millis(50));
-    let inner = deadline.less(Duration::from_millis(10));
-    assert_eq!(inner.left(now), Duration::from_millis(40));
+    let inner = deadline.with_margin(Duration::from_millis(10));
+    assert_eq!(inner.remaining(now), Duration::from_millis(40));
     assert!(inner < deadline);
-    assert!(deadline.passed(now + Duration::from_millis(50)));
+    assert!(deadline.has_passed(now + Duration::from_millis(50)));
 }
 
 #[test]
 fn only_gaps_above_the_threshold_are_reported() {
     let start = Instant::now();
-    let mut detector = Pulse::new(start, Duration::from_millis(100));
+    let mut detector = PauseDetector::new(start, Duration::from_millis(100));
     let later = start + Duration::from_millis(90);
-    assert_eq!(detector.beat(later), None);
+    assert_eq!(detector.tick(later), None);
     let resumed = later + Duration::from_secs(5);
-    assert!(detector.slept(resumed));
-    assert_eq!(detector.beat(resumed), Some(Duration::from_secs(5)));
-    assert_eq!(detector.beat(resumed + Duration::from_millis(50)), None);
+    assert!(detector.was_paused(resumed));
+    assert_eq!(detector.tick(resumed), Some(Duration::from_secs(5)));
+    assert_eq!(detector.tick(resumed + Duration::from_millis(50)), None);
 }
 
 #[test]
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -8,7 +8,7 @@
 
 use bergamot_base::Name;
 use bergamot_members::Answer as Addresses;
-use bergamot_net::{Client, Fault, Reply, fetch};
+use bergamot_net::{Client, NetworkError, Reply, fetch};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -71,7 +71,7 @@
         entry: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<Reply, Fault> {
+    ) -> Result<Reply, NetworkError> {
         let exchange = async {
             let mut client = match self.take(entry) {
                 Some(client) => client,
@@ -86,7 +86,7 @@
         };
         tokio::time::timeout(timeout, exchange)
             .await
-            .map_err(|elapsed| Fault::new("send", entry, elapsed))?
+            .map_err(|elapsed| NetworkError::new("send", entry, elapsed))?
     }
 
     async fn ask(&self, before: Option<(Instant, Addresses)>) -> Option<(Instant, Addresses)> {
--- a/crates/bench/src/capacity/control.rs
+++ b/crates/bench/src/capacity/control.rs
@@ -145,7 +145,7 @@
             async move {
                 let node = Node::start(Arc::new(settings), role).await?;
                 node.join().await;
-                Ok::<_, bergamot_net::Fault>(node)
+                Ok::<_, bergamot_net::NetworkError>(node)
             }
         });
         let starts: Vec<_> = starts.map(|start| members.spawn(start)).collect();
--- a/crates/bench/src/capacity/size.rs
+++ b/crates/bench/src/capacity/size.rs
@@ -106,7 +106,7 @@
         let document = self.parsed(1);
         let layout = &document.layout;
         let service = document.services.keys().next().expect("there is a service");
-        let (homes, share) = (layout.homes as f64, layout.share(service) as f64);
+        let (homes, share) = (layout.homes as f64, layout.connections_per_home(service) as f64);
         let (cells, searchers) = (layout.cells.len() as f64, self.searchers as f64);
         let (instances, limit) = (self.instances as f64, self.limit as f64);
         let cell = searchers / cells;
--- a/crates/bench/src/capacity/state.rs
+++ b/crates/bench/src/capacity/state.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bergamot_base::Name;
-use bergamot_config::{Document, Parcel};
+use bergamot_config::{Document, DocumentTransfer};
 use bergamot_members::{
     Datagram, Digest, Endpoint, Homes, Kind, Record, Role, Rumour, State, View,
 };
@@ -120,7 +120,7 @@
     let next = text.replacen("10.0.0.1:9000", "10.9.9.9:9000", 1);
     let next = next.replacen("\"revision\":1", "\"revision\":2", 1);
     let next = Document::parse(next.as_bytes()).expect("the changed document is valid");
-    let sent = Parcel::of(&next).without(&Parcel::of(&document).hashes());
+    let sent = DocumentTransfer::new(&next).omit(&DocumentTransfer::new(&document).hashes());
     let mut wire = Vec::new();
     ciborium::into_writer(&sent, &mut wire).expect("parcels always serialize");
     let (moved, idle) = replaced(size, &document);
--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -6,7 +6,7 @@
 
 use bergamot_base::Version;
 use bergamot_config::Settings;
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_standin::{Platform, Searcher};
 use tokio::sync::OwnedSemaphorePermit;
 
@@ -44,7 +44,7 @@
 
 impl Cluster {
     /// Starts the platform, the searchers and every instance.
-    pub async fn start(deployment: Deployment, base: Settings) -> Result<Self, Fault> {
+    pub async fn start(deployment: Deployment, base: Settings) -> Result<Self, NetworkError> {
         let mut cluster = Self::start_stand_ins(deployment, base, &[1]).await?;
         let starts: Vec<_> = (0..cluster.deployment.instances)
             .map(|number| {
@@ -63,7 +63,7 @@
         deployment: Deployment,
         base: Settings,
         versions: &[Version],
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, NetworkError> {
         let descriptors = DESCRIPTORS.take(deployment.descriptors()).await;
         let [configuration, instances] = deployment.platform();
         let platform = Platform::start(configuration, instances).await?;
@@ -84,7 +84,7 @@
     }
 
     /// Starts the daemons of one more instance.
-    pub async fn add(&mut self, number: usize) -> Result<(), Fault> {
+    pub async fn add(&mut self, number: usize) -> Result<(), NetworkError> {
         let instance = start_instance(self.settings(number)).await?;
         self.instances.insert(number, instance);
         Ok(())
@@ -110,7 +110,7 @@
         &mut self,
         number: usize,
         versions: &[Version],
-    ) -> Result<(), Fault> {
+    ) -> Result<(), NetworkError> {
         let (_, settings) = self.deployment.searchers(versions).swap_remove(number);
         let (service, old) = &mut self.searchers[number];
         let service = *service;
@@ -165,7 +165,7 @@
 }
 
 /// Starts both daemons of an instance at once, as after a boot.
-async fn start_instance(settings: Arc<Settings>) -> Result<Instance, Fault> {
+async fn start_instance(settings: Arc<Settings>) -> Result<Instance, NetworkError> {
     let entry = bergamot_entry::Entry::start(Arc::clone(&settings));
     let gather = bergamot_gather::Gather::start(settings);
     let (entry, gather) = futures::future::join(entry, gather).await;
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -11,7 +11,7 @@
 
 use bergamot_base::{Name, Seed};
 use bergamot_config::Settings;
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_standin::Faults;
 
 use crate::cluster::Cluster;
@@ -147,7 +147,7 @@
     seed: Seed,
     time: Duration,
     block: u8,
-) -> Result<Run, Fault> {
+) -> Result<Run, NetworkError> {
     let tenants =
         [Deployment::fraser_basin([block, 1], seed), Deployment::caldermuir([block, 2], seed)];
     let runs = tenants.map(|tenant| run_tenant(scenario, plan, plan.deployment(tenant), time));
@@ -174,7 +174,7 @@
     plan: Plan,
     deployment: Deployment,
     time: Duration,
-) -> Result<Run, Fault> {
+) -> Result<Run, NetworkError> {
     let seed = deployment.seed;
     let cluster = Cluster::start(deployment, plan.settings()).await?;
     tokio::time::sleep(WARM_UP).await;
--- a/crates/bench/src/leaving.rs
+++ b/crates/bench/src/leaving.rs
@@ -4,7 +4,7 @@
 
 use bergamot_base::{Name, Seed};
 use bergamot_config::Settings;
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_standin::{Faults, Instance};
 
 use crate::cluster::Cluster;
@@ -28,7 +28,7 @@
 
 /// Lets one replica of each shard of two services leave under load, and returns the time
 /// from then to the last sub-query of each, sorted; zero where none came.
-pub async fn run(seed: Seed, block: [u8; 2], word: Word) -> Result<Vec<Duration>, Fault> {
+pub async fn run(seed: Seed, block: [u8; 2], word: Word) -> Result<Vec<Duration>, NetworkError> {
     let deployment = Deployment::fraser_basin(block, seed);
     let cluster = Cluster::start(deployment.clone(), Settings::default()).await?;
     tokio::time::sleep(BEFORE).await;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -225,7 +225,7 @@
 }
 
 /// Runs the rounds of one seed and returns how many violations there were.
-async fn run_storm(seed: u64, rounds: usize) -> Result<usize, bergamot_net::Fault> {
+async fn run_storm(seed: u64, rounds: usize) -> Result<usize, bergamot_net::NetworkError> {
     let block = [45, 1 + (seed % 200) as u8];
     let mut storm = Storm::start(Seed(seed), block, Settings::default()).await?;
     let mut whole = History::default();
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -4,7 +4,7 @@
 
 use bergamot_base::Seed;
 use bergamot_config::Settings;
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 
 use crate::check::{Promise, check, count};
 use crate::cluster::Cluster;
@@ -54,7 +54,11 @@
 }
 
 /// Runs both tenants in this process and checks what they saw.
-pub async fn run(seed: Seed, time: Duration, blocks: [[u8; 2]; 2]) -> Result<Summary, Fault> {
+pub async fn run(
+    seed: Seed,
+    time: Duration,
+    blocks: [[u8; 2]; 2],
+) -> Result<Summary, NetworkError> {
     let deployments =
         [Deployment::fraser_basin(blocks[0], seed), Deployment::caldermuir(blocks[1], seed)];
     let mut clusters = Vec::new();
--- a/crates/bench/src/stand_ins.rs
+++ b/crates/bench/src/stand_ins.rs
@@ -46,6 +46,6 @@
 }
 
 /// Starts the platform and the searchers of a tenant.
-pub async fn start(deployment: Deployment) -> Result<Cluster, bergamot_net::Fault> {
+pub async fn start(deployment: Deployment) -> Result<Cluster, bergamot_net::NetworkError> {
     Cluster::start_stand_ins(deployment, Settings::default(), &[1]).await
 }
--- a/crates/bench/src/storm.rs
+++ b/crates/bench/src/storm.rs
@@ -9,7 +9,7 @@
 
 use bergamot_base::Seed;
 use bergamot_config::Settings;
-use bergamot_net::Fault as NetFault;
+use bergamot_net::NetworkError;
 use bergamot_standin::Faults;
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -90,7 +90,11 @@
 
 impl Storm {
     /// Starts Fraser Basin for a storm.
-    pub async fn start(seed: Seed, block: [u8; 2], settings: Settings) -> Result<Self, NetFault> {
+    pub async fn start(
+        seed: Seed,
+        block: [u8; 2],
+        settings: Settings,
+    ) -> Result<Self, NetworkError> {
         let deployment = Deployment::fraser_basin(block, seed);
         let next_instance = deployment.instances;
         let cluster = Cluster::start(deployment, settings).await?;
@@ -100,7 +104,7 @@
     }
 
     /// Runs one round and returns what callers saw in it, and the faults.
-    pub async fn round(&mut self) -> Result<(History, [Fault; 2]), NetFault> {
+    pub async fn round(&mut self) -> Result<(History, [Fault; 2]), NetworkError> {
         let mut faults = Fault::ALL;
         faults.shuffle(&mut self.rng);
         let pair = [faults[0], faults[1]];
@@ -117,7 +121,7 @@
         }
         let history = load
             .await
-            .map_err(|error| NetFault::new("run load", bergamot_base::Peer::Here, error))?;
+            .map_err(|error| NetworkError::new("run load", bergamot_base::Peer::Local, error))?;
         self.heal();
         Ok((history, pair))
     }
@@ -128,7 +132,7 @@
         self.cluster.connections()
     }
 
-    async fn strike(&mut self, fault: Fault) -> Result<(), NetFault> {
+    async fn strike(&mut self, fault: Fault) -> Result<(), NetworkError> {
         match fault {
             Fault::Stragglers => {
                 self.some(|f| Faults { straggle: 0.2, straggle_factor: 40.0, ..f });
@@ -168,7 +172,7 @@
         }
     }
 
-    async fn death(&mut self) -> Result<(), NetFault> {
+    async fn death(&mut self) -> Result<(), NetworkError> {
         let searchers: Vec<usize> = (0..self.cluster.searchers.len()).collect();
         let victim = searchers.choose(&mut self.rng).copied().unwrap_or(0);
         self.cluster.restart_searcher(victim, &[self.version]).await
@@ -188,7 +192,7 @@
         self.cluster.platform.publish(&self.cluster.deployment.document(self.revision));
     }
 
-    async fn replace(&mut self) -> Result<(), NetFault> {
+    async fn replace(&mut self) -> Result<(), NetworkError> {
         let numbers: Vec<usize> = self.cluster.instances.keys().copied().collect();
         let victim = numbers.choose(&mut self.rng).copied().unwrap_or(0);
         let fresh = self.next_instance;
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -12,11 +12,11 @@
 use bergamot_base::{Name, Peer, Revision, Searcher, Service, Shard, Step, Table, Workspace};
 use serde_json::Value;
 
-use crate::flaw::{Flaw, Refusal};
 use crate::layout::Layout;
-use crate::reader::{Flaws, ObjectReader};
-use crate::row::{Class, Place, Preference, SearcherRow, ServiceRow, ShardRow, WorkspaceRow};
+use crate::reader::{ObjectReader, Violations};
+use crate::row::{Class, Preference, SearcherRow, ServiceRow, ShardRow, WorkspaceRow, ZoneRow};
 use crate::section::{self, Section};
+use crate::validation::{ValidationError, Violation};
 
 /// The maximum size of a document in bytes, which is the limit of the platform's
 /// configuration service.
@@ -26,7 +26,7 @@
 const MAX_DEADLINE_MS: u64 = 60_000;
 
 const DOCUMENT_KEYS: &[&str] = &["revision", "instances", "places", "workspaces"];
-const PLACE_KEYS: &[&str] = &["zone", "region"];
+const ZONE_KEYS: &[&str] = &["zone", "region"];
 const WORKSPACE_KEYS: &[&str] = &["name", "in_flight", "services"];
 const SERVICE_KEYS: &[&str] = &[
     "name",
@@ -52,7 +52,7 @@
     /// The number of instances in the system, as published by the operators.
     pub instances: usize,
     /// The availability zones and their regions.
-    pub places: Vec<Place>,
+    pub zones: Vec<ZoneRow>,
     /// The workspaces of all tenants.
     pub workspaces: Table<Workspace, WorkspaceRow>,
     /// The services of all workspaces.
@@ -69,11 +69,15 @@
 
 impl Document {
     /// Parses and validates a document; the error lists everything that is invalid.
-    pub fn parse(text: &[u8]) -> Result<Self, Refusal> {
-        let reject = |flaws| Refusal { step: Step("check document"), peer: Peer::Here, flaws };
+    pub fn parse(text: &[u8]) -> Result<Self, ValidationError> {
+        let reject = |violations| ValidationError {
+            step: Step("check document"),
+            peer: Peer::Local,
+            violations,
+        };
         if text.len() > MAX_DOCUMENT_BYTES {
             let found = format!("{} bytes", text.len());
-            return Err(reject(vec![Flaw::new(
+            return Err(reject(vec![Violation::new(
                 "document",
                 found,
                 format!("{MAX_DOCUMENT_BYTES} bytes"),
@@ -81,17 +85,17 @@
         }
         let source: Value = serde_json::from_slice(text).map_err(|error| {
             let position = format!("line {} column {}", error.line(), error.column());
-            reject(vec![Flaw::new(position, error.to_string(), "a complete JSON object")])
+            reject(vec![Violation::new(position, error.to_string(), "a complete JSON object")])
         })?;
         Self::from_source(source).map_err(reject)
     }
 
     /// Validates and indexes a parsed JSON document.
-    pub(crate) fn from_source(source: Value) -> Result<Self, Vec<Flaw>> {
+    pub(crate) fn from_source(source: Value) -> Result<Self, Vec<Violation>> {
         let mut validator = Validator::default();
         validator.document(&source);
-        if !validator.flaws.is_empty() {
-            return Err(validator.flaws);
+        if !validator.violations.is_empty() {
+            return Err(validator.violations);
         }
         let layout = Layout::compute(validator.instances, &validator.services, &validator.shards);
         let sections = section::split(source);
@@ -100,7 +104,7 @@
             revision: validator.revision,
             hash,
             instances: validator.instances,
-            places: validator.places,
+            zones: validator.zones,
             workspaces: validator.workspaces,
             services: validator.services,
             shards: validator.shards,
@@ -118,12 +122,12 @@
 
     /// Returns the region of a zone, or the zone name itself if the zone is not listed.
     pub fn region<'a>(&'a self, zone: &'a str) -> &'a str {
-        self.places.iter().find(|place| &*place.zone == zone).map_or(zone, |place| &place.region)
+        self.zones.iter().find(|row| &*row.zone == zone).map_or(zone, |row| &row.region)
     }
 
     /// Returns the number of distinct regions.
     pub fn regions(&self) -> usize {
-        self.places.iter().map(|place| &place.region).collect::<HashSet<_>>().len()
+        self.zones.iter().map(|row| &row.region).collect::<HashSet<_>>().len()
     }
 
     /// Returns the sections in which the document is transferred.
@@ -139,7 +143,7 @@
     /// Formats the document for state dumps and tests, with one line per service.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "document r{} hash {:016x}", self.revision, self.hash)?;
-        writeln!(f, "instances {} zones {}", self.instances, self.places.len())?;
+        writeln!(f, "instances {} zones {}", self.instances, self.zones.len())?;
         writeln!(f, "{}", self.layout)?;
         for (id, service) in self.services.iter() {
             let workspace = &self.workspaces[service.workspace].name;
@@ -162,10 +166,10 @@
 /// Traverses a JSON document, collecting its tables and its errors.
 #[derive(Debug, Default)]
 struct Validator {
-    flaws: Flaws,
+    violations: Violations,
     revision: Revision,
     instances: usize,
-    places: Vec<Place>,
+    zones: Vec<ZoneRow>,
     workspaces: Table<Workspace, WorkspaceRow>,
     services: Table<Service, ServiceRow>,
     shards: Table<Shard, ShardRow>,
@@ -176,47 +180,53 @@
 
 impl Validator {
     fn document(&mut self, source: &Value) {
-        let Some(reader) = ObjectReader::open("", source, DOCUMENT_KEYS, &mut self.flaws) else {
+        let Some(reader) = ObjectReader::open("", source, DOCUMENT_KEYS, &mut self.violations)
+        else {
             return;
         };
-        self.revision = reader.number("revision", 1..=u64::MAX >> 1, None, &mut self.flaws);
+        self.revision = reader.number("revision", 1..=u64::MAX >> 1, None, &mut self.violations);
         self.instances =
-            reader.number("instances", 1..=MAX_INSTANCES, None, &mut self.flaws) as usize;
-        for (path, value) in reader.list("places", &mut self.flaws) {
-            self.place(path, value);
+            reader.number("instances", 1..=MAX_INSTANCES, None, &mut self.violations) as usize;
+        for (path, value) in reader.list("places", &mut self.violations) {
+            self.zone(path, value);
         }
-        for (path, value) in reader.list("workspaces", &mut self.flaws) {
+        for (path, value) in reader.list("workspaces", &mut self.violations) {
             self.workspace(path, value);
         }
     }
 
-    fn place(&mut self, path: String, value: &Value) {
-        let Some(reader) = ObjectReader::open(path, value, PLACE_KEYS, &mut self.flaws) else {
+    fn zone(&mut self, path: String, value: &Value) {
+        let Some(reader) = ObjectReader::open(path, value, ZONE_KEYS, &mut self.violations) else {
             return;
         };
-        let zone = reader.name("zone", &mut self.flaws);
-        let region = reader.name("region", &mut self.flaws);
-        if self.places.iter().any(|known| known.zone == zone) {
-            self.flaws.push(Flaw::new(reader.path("zone"), &*zone, "each zone once"));
+        let zone = reader.name("zone", &mut self.violations);
+        let region = reader.name("region", &mut self.violations);
+        if self.zones.iter().any(|known| known.zone == zone) {
+            self.violations.push(Violation::new(reader.path("zone"), &*zone, "each zone once"));
         }
-        self.places.push(Place { zone, region });
+        self.zones.push(ZoneRow { zone, region });
     }
 
     fn workspace(&mut self, path: String, value: &Value) {
-        let Some(reader) = ObjectReader::open(path, value, WORKSPACE_KEYS, &mut self.flaws) else {
+        let Some(reader) = ObjectReader::open(path, value, WORKSPACE_KEYS, &mut self.violations)
+        else {
             return;
         };
-        let name = reader.name("name", &mut self.flaws);
-        let in_flight = reader.number("in_flight", 1..=100_000, Some(256), &mut self.flaws);
+        let name = reader.name("name", &mut self.violations);
+        let in_flight = reader.number("in_flight", 1..=100_000, Some(256), &mut self.violations);
         if self.workspaces.values().any(|known| known.name == name) {
-            self.flaws.push(Flaw::new(reader.path("name"), &*name, "each workspace once"));
+            self.violations.push(Violation::new(
+                reader.path("name"),
+                &*name,
+                "each workspace once",
+            ));
         }
         let id = self.workspaces.push(WorkspaceRow {
             name: Name::clone(&name),
             in_flight: in_flight as usize,
             services: Vec::new(),
         });
-        for (path, value) in reader.list("services", &mut self.flaws) {
+        for (path, value) in reader.list("services", &mut self.violations) {
             self.service(path, value, id, &name);
         }
     }
@@ -228,18 +238,19 @@
         workspace: Workspace,
         workspace_name: &Name,
     ) {
-        let Some(reader) = ObjectReader::open(path, value, SERVICE_KEYS, &mut self.flaws) else {
+        let Some(reader) = ObjectReader::open(path, value, SERVICE_KEYS, &mut self.violations)
+        else {
             return;
         };
-        let name = reader.name("name", &mut self.flaws);
+        let name = reader.name("name", &mut self.violations);
         let service = self.service_row(&reader, workspace, Name::clone(&name));
         let id = self.services.push(service);
         self.workspaces[workspace].services.push(id);
         if self.names.insert((Name::clone(workspace_name), Name::clone(&name)), id).is_some() {
-            self.flaws.push(Flaw::new(reader.path("name"), &*name, "each service once"));
+            self.violations.push(Violation::new(reader.path("name"), &*name, "each service once"));
         }
         for (position, (path, value)) in
-            reader.list("shards", &mut self.flaws).into_iter().enumerate()
+            reader.list("shards", &mut self.violations).into_iter().enumerate()
         {
             self.shard(path, value, id, position);
         }
@@ -251,55 +262,68 @@
         workspace: Workspace,
         name: Name,
     ) -> ServiceRow {
-        let flaws = &mut self.flaws;
+        let violations = &mut self.violations;
         let preferences = [("time", Preference::Time), ("coverage", Preference::Coverage)];
         let classes = [("interactive", Class::Interactive), ("bulk", Class::Bulk)];
         ServiceRow {
             workspace,
             name,
-            preference: reader.choice("prefer", &preferences, flaws).unwrap_or(Preference::Time),
-            class: reader.choice("class", &classes, flaws).unwrap_or(Class::Bulk),
-            epoch: reader.number("epoch", 1..=u64::MAX >> 1, None, flaws),
+            preference: reader
+                .choice("prefer", &preferences, violations)
+                .unwrap_or(Preference::Time),
+            class: reader.choice("class", &classes, violations).unwrap_or(Class::Bulk),
+            epoch: reader.number("epoch", 1..=u64::MAX >> 1, None, violations),
             deadline: Duration::from_millis(reader.number(
                 "deadline_ms",
                 1..=MAX_DEADLINE_MS,
                 None,
-                flaws,
+                violations,
             )),
-            slots: reader.number("slots", 1..=1_000, None, flaws) as usize,
-            connections: reader.number("connections", 2..=10_000, None, flaws) as usize,
-            hedge_percent: reader.number("hedge_percent", 0..=100, Some(5), flaws) as u32,
+            slots: reader.number("slots", 1..=1_000, None, violations) as usize,
+            connections: reader.number("connections", 2..=10_000, None, violations) as usize,
+            hedge_percent: reader.number("hedge_percent", 0..=100, Some(5), violations) as u32,
             shards: Vec::new(),
         }
     }
 
     fn shard(&mut self, path: String, value: &Value, service: Service, position: usize) {
-        let Some(reader) = ObjectReader::open(path, value, SHARD_KEYS, &mut self.flaws) else {
+        let Some(reader) = ObjectReader::open(path, value, SHARD_KEYS, &mut self.violations) else {
             return;
         };
         let id = self.shards.push(ShardRow { service, position, replicas: Vec::new() });
         self.services[service].shards.push(id);
-        for (path, value) in reader.list("replicas", &mut self.flaws) {
+        for (path, value) in reader.list("replicas", &mut self.violations) {
             self.replica(path, value, id);
         }
     }
 
     fn replica(&mut self, path: String, value: &Value, shard: Shard) {
-        let Some(reader) = ObjectReader::open(path, value, REPLICA_KEYS, &mut self.flaws) else {
+        let Some(reader) = ObjectReader::open(path, value, REPLICA_KEYS, &mut self.violations)
+        else {
             return;
         };
-        let zone = reader.name("zone", &mut self.flaws);
-        let Some(address) =
-            reader.parsed::<SocketAddr>("address", "an IP address and a port", &mut self.flaws)
-        else {
+        let zone = reader.name("zone", &mut self.violations);
+        let Some(address) = reader.parsed::<SocketAddr>(
+            "address",
+            "an IP address and a port",
+            &mut self.violations,
+        ) else {
             return;
         };
-        if !self.places.iter().any(|known| known.zone == zone) {
-            self.flaws.push(Flaw::new(reader.path("zone"), &*zone, "a zone listed in places"));
+        if !self.zones.iter().any(|known| known.zone == zone) {
+            self.violations.push(Violation::new(
+                reader.path("zone"),
+                &*zone,
+                "a zone listed in places",
+            ));
         }
         if !self.addresses.insert(address) {
             let found = address.to_string();
-            self.flaws.push(Flaw::new(reader.path("address"), found, "each searcher once"));
+            self.violations.push(Violation::new(
+                reader.path("address"),
+                found,
+                "each searcher once",
+            ));
         }
         let id = self.searchers.push(SearcherRow { shard, address, zone });
         self.shards[shard].replicas.push(id);
--- a/crates/config/src/layout.rs
+++ b/crates/config/src/layout.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns how many connections each home opens to each searcher of a service.
-    pub fn share(&self, service: Service) -> usize {
+    pub fn connections_per_home(&self, service: Service) -> usize {
         self.connections_per_home[service]
     }
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -8,7 +8,7 @@
 use bergamot_base::Name;
 use serde_json::{Map, Value};
 
-use crate::Flaw;
+use crate::Violation;
 
 /// The maximum length of a name in bytes.
 const MAX_NAME_BYTES: usize = 64;
@@ -23,7 +23,7 @@
 }
 
 /// The errors found so far.
-pub(crate) type Flaws = Vec<Flaw>;
+pub(crate) type Violations = Vec<Violation>;
 
 impl<'a> ObjectReader<'a> {
     /// Checks that a value is an object, and reports every key that is not in `known`.
@@ -31,17 +31,17 @@
         path: impl Into<String>,
         value: &'a Value,
         known: &[&str],
-        flaws: &mut Flaws,
+        violations: &mut Violations,
     ) -> Option<Self> {
         let path = path.into();
         let Some(object) = value.as_object() else {
             let path = if path.is_empty() { "document".to_owned() } else { path };
-            flaws.push(Flaw::new(path, describe(value), "an object"));
+            violations.push(Violation::new(path, describe(value), "an object"));
             return None;
         };
         let reader = Self { path, object };
         for key in object.keys().filter(|key| !known.contains(&key.as_str())) {
-            flaws.push(Flaw::new(reader.path(key), "an unknown key", known.join(", ")));
+            violations.push(Violation::new(reader.path(key), "an unknown key", known.join(", ")));
         }
         Some(reader)
     }
@@ -57,7 +57,7 @@
         key: &str,
         range: RangeInclusive<u64>,
         default: Option<u64>,
-        flaws: &mut Flaws,
+        violations: &mut Violations,
     ) -> u64 {
         let allowed = || format!("an integer from {} to {}", range.start(), range.end());
         let found = match (self.object.get(key), default) {
@@ -68,16 +68,16 @@
                 _ => describe(value),
             },
         };
-        flaws.push(Flaw::new(self.path(key), found, allowed()));
+        violations.push(Violation::new(self.path(key), found, allowed()));
         *range.start()
     }
 
     /// Reads a name that conforms to [`NAME_SYNTAX`].
-    pub(crate) fn name(&self, key: &str, flaws: &mut Flaws) -> Name {
+    pub(crate) fn name(&self, key: &str, violations: &mut Violations) -> Name {
         let text = self.object.get(key).and_then(Value::as_str).unwrap_or_default();
         if !is_name(text) {
             let found = self.object.get(key).map_or("nothing".to_owned(), describe);
-            flaws.push(Flaw::new(self.path(key), found, NAME_SYNTAX));
+            violations.push(Violation::new(self.path(key), found, NAME_SYNTAX));
         }
         Name::from(text)
     }
@@ -87,7 +87,7 @@
         &self,
         key: &str,
         words: &[(&str, T)],
-        flaws: &mut Flaws,
+        violations: &mut Violations,
     ) -> Option<T> {
         let value = self.object.get(key);
         let text = value.and_then(Value::as_str).unwrap_or_default();
@@ -95,7 +95,7 @@
         if choice.is_none() {
             let allowed: Vec<_> = words.iter().map(|(word, _)| *word).collect();
             let found = value.map_or("nothing".to_owned(), describe);
-            flaws.push(Flaw::new(self.path(key), found, allowed.join(" or ")));
+            violations.push(Violation::new(self.path(key), found, allowed.join(" or ")));
         }
         choice
     }
@@ -105,24 +105,24 @@
         &self,
         key: &str,
         allowed: &str,
-        flaws: &mut Flaws,
+        violations: &mut Violations,
     ) -> Option<T> {
         let value = self.object.get(key);
         let parsed = value.and_then(Value::as_str).and_then(|text| text.parse().ok());
         if parsed.is_none() {
             let found = value.map_or("nothing".to_owned(), describe);
-            flaws.push(Flaw::new(self.path(key), found, allowed));
+            violations.push(Violation::new(self.path(key), found, allowed));
         }
         parsed
     }
 
     /// Reads a non-empty list and pairs each item with its path.
-    pub(crate) fn list(&self, key: &str, flaws: &mut Flaws) -> Vec<(String, &'a Value)> {
+    pub(crate) fn list(&self, key: &str, violations: &mut Violations) -> Vec<(String, &'a Value)> {
         let value = self.object.get(key);
         let items = value.and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         if items.is_empty() {
             let found = value.map_or("nothing".to_owned(), describe);
-            flaws.push(Flaw::new(self.path(key), found, "a list with at least one item"));
+            violations.push(Violation::new(self.path(key), found, "a list with at least one item"));
         }
         let path = self.path(key);
         items.iter().enumerate().map(|(i, item)| (format!("{path}[{i}]"), item)).collect()
--- a/crates/config/src/floor.rs
+++ b/crates/config/src/revision.rs
@@ -9,7 +9,7 @@
 
 /// How an offered revision relates to the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RevisionStatus {
     /// The revision is higher than the one in force and should be fetched, validated and adopted.
     Newer,
     /// The revision and the content are those in force.
@@ -18,18 +18,18 @@
     Older,
     /// The revision is the one in force but the content differs; the offer must be reported and
     /// not adopted.
-    Clash,
+    Conflict,
 }
 
 /// The revision in force and the hash of its content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Floor {
+pub struct RevisionTracker {
     revision: Revision,
     hash: u64,
-    clashes: u64,
+    conflicts: u64,
 }
 
-impl Floor {
+impl RevisionTracker {
     /// Returns the revision in force, or zero if none has been adopted.
     pub fn revision(&self) -> Revision {
         self.revision
@@ -41,34 +41,34 @@
     }
 
     /// Returns the number of offers that conflicted with the document in force.
-    pub fn clashes(&self) -> u64 {
-        self.clashes
+    pub fn conflicts(&self) -> u64 {
+        self.conflicts
     }
 
     /// Compares an offered revision with the one in force, without adopting it.
-    pub fn judge(&self, revision: Revision, hash: u64) -> Verdict {
+    pub fn compare(&self, revision: Revision, hash: u64) -> RevisionStatus {
         if revision > self.revision {
-            Verdict::Newer
+            RevisionStatus::Newer
         } else if revision < self.revision {
-            Verdict::Older
+            RevisionStatus::Older
         } else if hash == self.hash {
-            Verdict::Same
+            RevisionStatus::Same
         } else {
-            Verdict::Clash
+            RevisionStatus::Conflict
         }
     }
 
     /// Adopts the revision of a validated document if it is newer, and counts conflicts.
-    pub fn adopt(&mut self, revision: Revision, hash: u64) -> Verdict {
-        let verdict = self.judge(revision, hash);
-        match verdict {
-            Verdict::Newer => {
+    pub fn adopt(&mut self, revision: Revision, hash: u64) -> RevisionStatus {
+        let status = self.compare(revision, hash);
+        match status {
+            RevisionStatus::Newer => {
                 self.revision = revision;
                 self.hash = hash;
             }
-            Verdict::Clash => self.clashes += 1,
-            Verdict::Same | Verdict::Older => {}
+            RevisionStatus::Conflict => self.conflicts += 1,
+            RevisionStatus::Same | RevisionStatus::Older => {}
         }
-        verdict
+        status
     }
 }
--- a/crates/config/src/row.rs
+++ b/crates/config/src/row.rs
@@ -44,7 +44,7 @@
 
 /// An availability zone and its region.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ZoneRow {
     /// The name of the availability zone.
     pub zone: Name,
     /// The name of the region.
@@ -89,7 +89,7 @@
 
 impl ServiceRow {
     /// Returns the shard that holds the record with the given key.
-    pub fn holder(&self, key: &str) -> Shard {
+    pub fn shard_for_key(&self, key: &str) -> Shard {
         self.shards[(hash_bytes(key.as_bytes()) % self.shards.len() as u64) as usize]
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -11,11 +11,11 @@
 use bergamot_base::{Name, Peer, Step};
 use ini::Ini;
 
-use crate::flaw::{Flaw, Refusal};
+use crate::validation::{ValidationError, Violation};
 
 /// A declared setting, for help texts and tests.
 #[derive(Clone, Copy, Debug)]
-pub struct Key {
+pub struct Setting {
     /// The section of the INI file.
     pub section: &'static str,
     /// The key within the section.
@@ -143,8 +143,8 @@
 
         impl Settings {
             /// All declared settings, in table order.
-            pub const KEYS: &[Key] = &[
-                $($(Key {
+            pub const KEYS: &[Setting] = &[
+                $($(Setting {
                     section: stringify!($section),
                     name: stringify!($key),
                     help: $help,
@@ -229,46 +229,54 @@
 
 impl Settings {
     /// Parses and validates an INI file; the error lists everything that is invalid.
-    pub fn parse(text: &str) -> Result<Self, Refusal> {
-        let reject = |flaws| Refusal { step: Step("check settings"), peer: Peer::Here, flaws };
+    pub fn parse(text: &str) -> Result<Self, ValidationError> {
+        let reject = |violations| ValidationError {
+            step: Step("check settings"),
+            peer: Peer::Local,
+            violations,
+        };
         let ini = Ini::load_from_str(text).map_err(|error| {
             let position = format!("line {} column {}", error.line, error.col);
-            reject(vec![Flaw::new(position, &*error.msg, "INI sections and keys")])
+            reject(vec![Violation::new(position, &*error.msg, "INI sections and keys")])
         })?;
         let mut settings = Self::default();
-        let mut flaws = Vec::new();
+        let mut violations = Vec::new();
         let mut seen = HashSet::new();
         for (section, keys) in &ini {
             let section = section.unwrap_or_default();
             for (key, text) in keys {
                 if !seen.insert((section, key)) {
-                    flaws.push(Flaw::new(format!("[{section}] {key}"), text, "each key once"));
+                    violations.push(Violation::new(
+                        format!("[{section}] {key}"),
+                        text,
+                        "each key once",
+                    ));
                 }
                 if let Err(allowed) = settings.set(section, key, text) {
-                    flaws.push(Flaw::new(format!("[{section}] {key}"), text, allowed));
+                    violations.push(Violation::new(format!("[{section}] {key}"), text, allowed));
                 }
             }
         }
-        settings.check_constraints(&mut flaws);
-        if flaws.is_empty() { Ok(settings) } else { Err(reject(flaws)) }
+        settings.check_constraints(&mut violations);
+        if violations.is_empty() { Ok(settings) } else { Err(reject(violations)) }
     }
 
     /// Checks the constraints between settings.
-    fn check_constraints(&self, flaws: &mut Vec<Flaw>) {
+    fn check_constraints(&self, violations: &mut Vec<Violation>) {
         if self.entry.shortest_deadline > self.entry.longest_deadline {
             let found = format!("{} ms", self.entry.shortest_deadline.as_millis());
             let allowed = "at most longest_deadline";
-            flaws.push(Flaw::new("[entry] shortest_deadline", found, allowed));
+            violations.push(Violation::new("[entry] shortest_deadline", found, allowed));
         }
         if self.control.answer >= self.control.probe {
             let found = format!("{} ms", self.control.answer.as_millis());
-            flaws.push(Flaw::new("[control] answer", found, "less than probe"));
+            violations.push(Violation::new("[control] answer", found, "less than probe"));
         }
     }
 
     /// Formats the section, key and description of every setting, one per line.
     pub fn help() -> String {
-        let line = |key: &Key| format!("[{}] {}: {}", key.section, key.name, key.help);
+        let line = |key: &Setting| format!("[{}] {}: {}", key.section, key.name, key.help);
         Self::KEYS.iter().map(line).collect::<Vec<_>>().join("\n")
     }
 }
--- a/crates/config/tests/filetests.rs
+++ b/crates/config/tests/filetests.rs
@@ -9,14 +9,14 @@
 fn document(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| match Document::parse(input.as_bytes()) {
         Ok(document) => document.to_string(),
-        Err(refusal) => refusal.at("document.json").to_string(),
+        Err(error) => error.with_file("document.json").to_string(),
     })
 }
 
 fn settings(path: &Path) -> Result<(), Box<dyn Error>> {
     check(path, |input| match Settings::parse(input) {
         Ok(settings) => format!("{:#?}\n{:#?}", settings.instance, settings.platform),
-        Err(refusal) => refusal.at("settings.ini").to_string(),
+        Err(error) => error.with_file("settings.ini").to_string(),
     })
 }
 
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Properties of revision tracking and of document transfer.
 
-use bergamot_config::{Document, Floor, Parcel, Verdict};
+use bergamot_config::{Document, DocumentTransfer, RevisionStatus, RevisionTracker};
 use proptest::prelude::*;
 
 fn document(revision: u64, epochs: &[u64]) -> Document {
@@ -28,15 +28,15 @@
     fn the_revision_in_force_never_decreases(
         offers in proptest::collection::vec((0_u64..6, 0_u64..3), 1..60),
     ) {
-        let mut floor = Floor::default();
+        let mut tracker = RevisionTracker::default();
         let mut current = (0, 0);
         for (revision, hash) in offers {
-            let verdict = floor.adopt(revision, hash);
-            if verdict == Verdict::Newer {
+            let status = tracker.adopt(revision, hash);
+            if status == RevisionStatus::Newer {
                 prop_assert!(revision > current.0);
                 current = (revision, hash);
             }
-            prop_assert_eq!((floor.revision(), floor.hash()), current);
+            prop_assert_eq!((tracker.revision(), tracker.hash()), current);
         }
     }
 
@@ -46,7 +46,7 @@
         after in proptest::collection::vec(1_u64..4, 2..6),
     ) {
         let (old, new) = (document(1, &before), document(2, &after));
-        let sent = Parcel::of(&new).without(&Parcel::of(&old).hashes());
+        let sent = DocumentTransfer::new(&new).omit(&DocumentTransfer::new(&old).hashes());
         let got = sent.assemble(Some(&old)).expect("every section is in the transfer or in the previous document");
         prop_assert_eq!(got.hash, new.hash);
         prop_assert_eq!(got.to_string(), new.to_string());
@@ -56,19 +56,19 @@
 #[test]
 fn a_missing_or_corrupt_section_is_rejected() {
     let (old, new) = (document(1, &[1, 1]), document(2, &[2, 1]));
-    let sent = Parcel::of(&new).without(&Parcel::of(&old).hashes());
-    let refusal = sent.assemble(None).expect_err("a section's text is missing");
-    assert!(refusal.to_string().contains("section"), "{refusal}");
-    let mut corrupt = Parcel::of(&new);
+    let sent = DocumentTransfer::new(&new).omit(&DocumentTransfer::new(&old).hashes());
+    let error = sent.assemble(None).expect_err("a section's text is missing");
+    assert!(error.to_string().contains("section"), "{error}");
+    let mut corrupt = DocumentTransfer::new(&new);
     corrupt.sections[1].text = Some("{}".into());
-    let refusal = corrupt.assemble(None).expect_err("a section is corrupt");
-    assert!(refusal.to_string().contains("another hash"), "{refusal}");
+    let error = corrupt.assemble(None).expect_err("a section is corrupt");
+    assert!(error.to_string().contains("another hash"), "{error}");
 }
 
 #[test]
 fn unchanged_sections_are_not_sent() {
     let (old, new) = (document(1, &[1, 1, 1, 1]), document(2, &[1, 1, 9, 1]));
-    let sent = Parcel::of(&new).without(&Parcel::of(&old).hashes());
+    let sent = DocumentTransfer::new(&new).omit(&DocumentTransfer::new(&old).hashes());
     let sent_texts = sent.sections.iter().filter(|section| section.text.is_some()).count();
     assert_eq!(
         sent_texts, 2,
--- a/crates/declaration/src/declaration.rs
+++ b/crates/declaration/src/declaration.rs
@@ -15,7 +15,7 @@
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Idempotency {
     /// The request may be executed any number of times.
     Idempotent,
     /// The request may be executed at most once.
@@ -24,7 +24,7 @@
 
 /// A service with its weight in a traffic split.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct WeightedService {
     /// The service.
     pub service: Name,
     /// The weight relative to the other services of the split.
@@ -44,7 +44,7 @@
 
 impl Gather {
     /// Returns the minimum number of shards that must respond, which is at least one.
-    pub fn fewest(&self) -> usize {
+    pub fn min_shards(&self) -> usize {
         // Without the tolerance, floating-point error can round 0.89 of 100 shards up to 90.
         const TOLERANCE: f64 = 1e-9;
         let exact = self.min_coverage * self.shards.len() as f64;
@@ -58,7 +58,7 @@
     /// One searcher of a service.
     Service(Name),
     /// One searcher of one of several services, chosen by weight.
-    Split(Vec<Share>),
+    Split(Vec<WeightedService>),
     /// One searcher of each shard.
     Gather(Gather),
 }
@@ -85,7 +85,7 @@
     /// The path prefix to match, which begins and ends with a slash.
     pub prefix: Name,
     /// Whether requests may be executed more than once.
-    pub kind: Kind,
+    pub kind: Idempotency,
     /// The maximum time until a request is answered.
     pub timeout: Duration,
     /// The latency up to which a response has its full value to the caller.
--- a/crates/declaration/src/lib.rs
+++ b/crates/declaration/src/lib.rs
@@ -9,7 +9,9 @@
 
 mod check;
 mod declaration;
-mod split;
+mod round_robin;
 
-pub use declaration::{Declaration, Gather, Kind, Limits, Route, Service, Share, Target};
-pub use split::Split;
+pub use declaration::{
+    Declaration, Gather, Idempotency, Limits, Route, Service, Target, WeightedService,
+};
+pub use round_robin::WeightedRoundRobin;
--- a/crates/declaration/src/split.rs
+++ b/crates/declaration/src/round_robin.rs
@@ -8,11 +8,11 @@
 
 use bergamot_base::Name;
 
-use crate::declaration::Share;
+use crate::declaration::WeightedService;
 
 /// The state of the weighted round robin of one route.
 #[derive(Clone, Debug, Default)]
-pub struct Split {
+pub struct WeightedRoundRobin {
     entries: Vec<Entry>,
 }
 
@@ -23,12 +23,12 @@
     credit: f64,
 }
 
-impl Split {
+impl WeightedRoundRobin {
     /// Chooses the service for the next request.
     ///
     /// The distribution starts over if the declared weights have changed. Returns `None` if
     /// there are no services.
-    pub fn next(&mut self, shares: &[Share]) -> Option<Name> {
+    pub fn next_service(&mut self, shares: &[WeightedService]) -> Option<Name> {
         if !self.matches(shares) {
             self.entries = shares.iter().map(Entry::new).collect();
         }
@@ -41,8 +41,8 @@
         Some(Name::clone(&chosen.service))
     }
 
-    fn matches(&self, shares: &[Share]) -> bool {
-        let same = |entry: &Entry, share: &Share| {
+    fn matches(&self, shares: &[WeightedService]) -> bool {
+        let same = |entry: &Entry, share: &WeightedService| {
             entry.service == share.service && entry.weight.total_cmp(&share.weight).is_eq()
         };
         self.entries.len() == shares.len()
@@ -51,7 +51,7 @@
 }
 
 impl Entry {
-    fn new(share: &Share) -> Self {
+    fn new(share: &WeightedService) -> Self {
         Self { service: Name::clone(&share.service), weight: share.weight, credit: 0.0 }
     }
 }
--- a/crates/declaration/tests/declaration.rs
+++ b/crates/declaration/tests/declaration.rs
@@ -3,14 +3,16 @@
 use std::time::Duration;
 
 use bergamot_base::Name;
-use bergamot_declaration::{Declaration, Gather, Kind, Route, Service, Share, Split, Target};
+use bergamot_declaration::{
+    Declaration, Gather, Idempotency, Route, Service, Target, WeightedRoundRobin, WeightedService,
+};
 
 fn route(host: &str, prefix: &str, target: Target) -> Route {
     Route {
         name: Name::from(format!("{host}{prefix}")),
         host: host.into(),
         prefix: prefix.into(),
-        kind: Kind::Idempotent,
+        kind: Idempotency::Idempotent,
         timeout: Duration::from_secs(1),
         target_latency: None,
         attempts: 2,
@@ -69,14 +71,14 @@
 fn every_error_is_reported() {
     let mut invalid = route("x", "a/", Target::Service("gone".into()));
     invalid.attempts = 0;
-    let weights = vec![Share { service: "a".into(), weight: 0.0 }];
+    let weights = vec![WeightedService { service: "a".into(), weight: 0.0 }];
     let split = route("x", "/s/", Target::Split(weights));
     let mut twice = gather(1, 1.5);
     twice.shards = vec!["a".into(), "a".into()];
     let mut gathered = route("x", "/s/", Target::Gather(twice));
-    gathered.kind = Kind::NonIdempotent;
-    let refusal = declaration(vec![invalid, split, gathered]).check().expect_err("it is invalid");
-    let places: Vec<_> = refusal.flaws.iter().map(|flaw| &*flaw.place).collect();
+    gathered.kind = Idempotency::NonIdempotent;
+    let error = declaration(vec![invalid, split, gathered]).check().expect_err("it is invalid");
+    let places: Vec<_> = error.violations.iter().map(|violation| &*violation.path).collect();
     let expected = [
         "routes[0].prefix",
         "routes[0].attempts",
@@ -92,19 +94,21 @@
 
 #[test]
 fn the_minimum_of_shards_has_no_rounding_errors() {
-    assert_eq!(gather(20, 0.89).fewest(), 18);
-    assert_eq!(gather(100, 0.89).fewest(), 89);
-    assert_eq!(gather(20, 0.75).fewest(), 15);
-    assert_eq!(gather(90, 0.95).fewest(), 86);
-    assert_eq!(gather(3, 0.0).fewest(), 1);
+    assert_eq!(gather(20, 0.89).min_shards(), 18);
+    assert_eq!(gather(100, 0.89).min_shards(), 89);
+    assert_eq!(gather(20, 0.75).min_shards(), 15);
+    assert_eq!(gather(90, 0.95).min_shards(), 86);
+    assert_eq!(gather(3, 0.0).min_shards(), 1);
 }
 
 #[test]
 fn a_split_meets_its_weights_within_a_few_requests() {
-    let shares =
-        [Share { service: "a".into(), weight: 7.0 }, Share { service: "b".into(), weight: 3.0 }];
-    let mut split = Split::default();
-    let chosen: Vec<_> = (0..20).filter_map(|_| split.next(&shares)).collect();
+    let shares = [
+        WeightedService { service: "a".into(), weight: 7.0 },
+        WeightedService { service: "b".into(), weight: 3.0 },
+    ];
+    let mut split = WeightedRoundRobin::default();
+    let chosen: Vec<_> = (0..20).filter_map(|_| split.next_service(&shares)).collect();
     assert_eq!(chosen.iter().filter(|name| &***name == "a").count(), 14);
     let first: Vec<_> = chosen[..10].iter().filter(|name| &***name == "b").collect();
     assert_eq!(first.len(), 3);
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -3,7 +3,7 @@
 //! Invariant: a non-idempotent request is sent again only if it certainly did not run, and a
 //! caller is told "not run" only if every attempt ended that way.
 
-use bergamot_declaration::Kind;
+use bergamot_declaration::Idempotency;
 
 /// How an exchange with a searcher ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,7 +25,7 @@
     }
 
     /// Returns whether the request may be sent again.
-    pub fn may_resend(self, kind: Kind) -> bool {
-        kind == Kind::Idempotent || self.did_not_run()
+    pub fn may_resend(self, kind: Idempotency) -> bool {
+        kind == Idempotency::Idempotent || self.did_not_run()
     }
 }
--- a/crates/dispatch/tests/caller_overhead.rs
+++ b/crates/dispatch/tests/caller_overhead.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamot_declaration::{Kind, Route, Target};
+use bergamot_declaration::{Idempotency, Route, Target};
 use bergamot_dispatch::{CallerOverhead, RequestTimeouts};
 use bergamot_policy::{Arrival, Policy};
 
@@ -16,7 +16,7 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        kind: Kind::Idempotent,
+        kind: Idempotency::Idempotent,
         timeout: MS * 1500,
         target_latency: Some(TARGET),
         attempts: 2,
--- a/crates/dispatch/tests/dispatch.rs
+++ b/crates/dispatch/tests/dispatch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bergamot_declaration::{Kind, Route, Target};
+use bergamot_declaration::{Idempotency, Route, Target};
 use bergamot_dispatch::{
     AttemptPriority, Candidate, Ending, GatherDecision, LatencyEstimator, RequestTimeouts,
     RetryBudget, RetryBudgetLimits, StallPeriod, Tally, admit, merge_top_k, rank,
@@ -18,11 +18,11 @@
 fn a_non_idempotent_request_is_sent_again_only_if_it_did_not_run() {
     use Ending::{Failed, NotRun, NotSent, Unknown};
     for ending in [NotSent, NotRun] {
-        assert!(ending.did_not_run() && ending.may_resend(Kind::NonIdempotent));
+        assert!(ending.did_not_run() && ending.may_resend(Idempotency::NonIdempotent));
     }
     for ending in [Failed, Unknown] {
-        assert!(!ending.did_not_run() && !ending.may_resend(Kind::NonIdempotent));
-        assert!(ending.may_resend(Kind::Idempotent));
+        assert!(!ending.did_not_run() && !ending.may_resend(Idempotency::NonIdempotent));
+        assert!(ending.may_resend(Idempotency::Idempotent));
     }
 }
 
@@ -270,7 +270,7 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        kind: Kind::Idempotent,
+        kind: Idempotency::Idempotent,
         timeout: MS * 1200,
         target_latency: Some(MS * 120),
         attempts: 2,
--- a/crates/dispatch/tests/load.rs
+++ b/crates/dispatch/tests/load.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use bergamot_declaration::{Kind, Route, Target};
+use bergamot_declaration::{Idempotency, Route, Target};
 use bergamot_dispatch::{AttemptPriority, RequestTimeouts, RetryBudget, RetryBudgetLimits};
 use bergamot_policy::Policy;
 
@@ -41,7 +41,7 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        kind: Kind::Idempotent,
+        kind: Idempotency::Idempotent,
         timeout: target * 5,
         target_latency: Some(target),
         attempts: 2,
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -164,7 +164,7 @@
         Preference::Time => inner.node.settings().entry.margin,
         Preference::Coverage => SHORT_MARGIN,
     };
-    let deadline = asked.less(margin);
+    let deadline = asked.with_margin(margin);
     let queries: Vec<_> = services
         .iter()
         .map(|service| Query {
@@ -246,7 +246,8 @@
     })?;
     awake(inner).await?;
     let key = key.unwrap_or_else(|| inner.writer.own_key());
-    let order = Order { workspace, service, record, body, deadline: deadline.less(SHORT_MARGIN) };
+    let order =
+        Order { workspace, service, record, body, deadline: deadline.with_margin(SHORT_MARGIN) };
     let outcome = inner.writer.run(key.clone(), order).await;
     let answer = WriteAnswer::new(Name::clone(id), Name::from(key.to_string()), outcome);
     let label = match answer.outcome {
--- a/crates/entry/src/read.rs
+++ b/crates/entry/src/read.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::{Deadline, Name};
-use bergamot_net::{Rejection, read_body};
+use bergamot_net::{BodyError, read_body};
 use bergamot_query::Shape;
 use bergamot_write::Key;
 use hyper::body::Incoming;
@@ -102,8 +102,8 @@
     let limit = inner.node.settings().entry.body_bytes as usize;
     read_body(request, limit).await.map_err(|rejection| {
         let status = match rejection {
-            Rejection::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Rejection::Cut => StatusCode::BAD_REQUEST,
+            BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            BodyError::Incomplete => StatusCode::BAD_REQUEST,
         };
         Refused::bad(status, "read body", format!("{rejection}, allowed: at most {limit} bytes"))
     })
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -114,7 +114,7 @@
             if best.as_ref().is_none_or(better) {
                 best = Some((plan, outcome));
             }
-            let left = query.deadline.left(Instant::now());
+            let left = query.deadline.remaining(Instant::now());
             if (ahead.is_none() && !again) || left.is_zero() {
                 break;
             }
@@ -147,7 +147,7 @@
             return Some(version);
         }
         let look = Deadline::after(Instant::now(), LOOK).earlier(query.deadline);
-        while !look.passed(Instant::now()) {
+        while !look.has_passed(Instant::now()) {
             self.look(current, service, look).await;
             if let Some(version) = self.known(current, &shards) {
                 return Some(version);
@@ -266,7 +266,7 @@
             None => return Err(silent),
         }
         lock(&self.seconds).earn();
-        let half = query.deadline.left(Instant::now()) / 2;
+        let half = query.deadline.remaining(Instant::now()) / 2;
         let second_at = Instant::now() + half.max(failover);
         let mut waiting = true;
         loop {
@@ -285,7 +285,7 @@
                 () = tokio::time::sleep_until(second_at.into()), if waiting => {
                     waiting = false;
                     silent = Silent::Late;
-                    if lock(&self.seconds).spend() && let Some(home) = homes.next() {
+                    if lock(&self.seconds).try_spend() && let Some(home) = homes.next() {
                         running.push(self.ask_home(query, plan, home, shards));
                     }
                 }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -7,7 +7,7 @@
 use bergamot_base::{Deadline, Name};
 use bergamot_config::Settings;
 use bergamot_members::{Role, State};
-use bergamot_net::{Fault, listen, serve};
+use bergamot_net::{NetworkError, listen, serve};
 use bergamot_node::Node;
 use bergamot_wire::{Entry as Requests, run_requests, serve_requests, transport};
 use bergamot_write::{Key, Outcome};
@@ -63,7 +63,7 @@
 
 impl Entry {
     /// Starts an entry and returns once it has a document and serves.
-    pub async fn start(settings: Arc<Settings>) -> Result<Running, Fault> {
+    pub async fn start(settings: Arc<Settings>) -> Result<Running, NetworkError> {
         let node = Node::start(settings, Role::Entry).await?;
         let settings = Arc::clone(node.settings());
         let ip = settings.instance.address;
@@ -102,7 +102,7 @@
 
     /// Waits until a task has ended without which the service can't go on.
     pub async fn failed(&self) {
-        self.inner.node.tasks().failed().await;
+        self.inner.node.tasks().wait_for_failure().await;
     }
 
     /// Ends at once and without a farewell, as a crash does. For tests and measurements.
@@ -141,7 +141,7 @@
     listener: TcpListener,
     stop: CancellationToken,
 ) -> JoinHandle<()> {
-    let tasks = inner.node.tasks().until(stop.clone());
+    let tasks = inner.node.tasks().with_stop(stop.clone());
     let inner = Arc::clone(inner);
     let serving =
         serve(listener, stop, move |request, _peer| http::handle(Arc::clone(&inner), request));
@@ -153,7 +153,7 @@
     listener: TcpListener,
     stop: CancellationToken,
 ) -> JoinHandle<()> {
-    let tasks = inner.node.tasks().until(stop.clone());
+    let tasks = inner.node.tasks().with_stop(stop.clone());
     let server = Server(Arc::clone(&inner.writer));
     let serving = serve_requests(listener, stop, move |stream, open| {
         let requests = transport(stream).execute(Requests::serve(server.clone()));
@@ -190,7 +190,7 @@
     ) -> Outcome {
         let now = Instant::now();
         let left = context.deadline.saturating_duration_since(now);
-        let deadline = Deadline::after(now, left).less(FORWARD_MARGIN);
+        let deadline = Deadline::after(now, left).with_margin(FORWARD_MARGIN);
         let order = Order { workspace, service, record, body, deadline };
         self.0.run_own(key, order).await
     }
--- a/crates/entry/src/write.rs
+++ b/crates/entry/src/write.rs
@@ -161,7 +161,7 @@
         let Some(service) = document.service(&order.workspace, &order.service) else {
             return Outcome::not_run("the service is gone");
         };
-        let shard = document.services[service].holder(&order.record);
+        let shard = document.services[service].shard_for_key(&order.record);
         let wire = WriteOrder {
             revision: document.revision,
             shard,
@@ -174,7 +174,7 @@
             let Ok(client) = self.runner.channels().get(address).await else {
                 continue;
             };
-            if order.deadline.passed(Instant::now()) {
+            if order.deadline.has_passed(Instant::now()) {
                 return Outcome::not_run("the deadline passed before sending");
             }
             match client.write(context(order.deadline), wire.clone()).await {
--- a/crates/feed/src/deliver.rs
+++ b/crates/feed/src/deliver.rs
@@ -3,7 +3,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-use bergamot_base::message;
+use bergamot_base::panic_message;
 
 use bergamot_wire::Item;
 
@@ -46,7 +46,7 @@
         // State that a panic leaves half updated is behind locks whose users validate what they
         // read.
         if let Err(panic) = catch_unwind(AssertUnwindSafe(deliver)) {
-            let (key, cause) = (&record.key, message(&*panic));
+            let (key, cause) = (&record.key, panic_message(&*panic));
             log::error!("feed: event=record_panicked key={key} cause={cause:?}");
         }
     }
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -6,7 +6,7 @@
 
 use bergamot_base::{Name, Position, Revision};
 use bergamot_declaration::Declaration;
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_registry::Upstream;
 use bergamot_wire::Rank;
 use futures::future::BoxFuture;
@@ -59,7 +59,7 @@
     #[snafu(display("{source}"))]
     Failed {
         /// The cause.
-        source: Fault,
+        source: NetworkError,
     },
     /// No answer arrived in time.
     #[snafu(display("no answer from the store in time"))]
--- a/crates/front/src/caller.rs
+++ b/crates/front/src/caller.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bergamot_base::Name;
-use bergamot_net::{Body, Rejection, read_body, strip_hop, text};
+use bergamot_net::{Body, BodyError, read_body, strip_hop_by_hop_headers, text};
 use bergamot_relay::{Relay, Request};
 use hyper::body::Incoming;
 use hyper::header::HOST;
@@ -32,12 +32,12 @@
     let limit = relay.declaration().map_or(ASSUMED_BODY, |declared| declared.limits.body_bytes);
     let body = match read_body(hyper::Request::new(body), limit).await {
         Ok(body) => body,
-        Err(Rejection::TooLarge) => {
+        Err(BodyError::TooLarge) => {
             return reject(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than allowed");
         }
-        Err(Rejection::Cut) => return reject(StatusCode::BAD_REQUEST, "the body was cut"),
+        Err(BodyError::Incomplete) => return reject(StatusCode::BAD_REQUEST, "the body was cut"),
     };
-    strip_hop(&mut parts.headers);
+    strip_hop_by_hop_headers(&mut parts.headers);
     let request = Request {
         id: head.id,
         host,
--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -12,13 +12,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use bergamot_base::{Name, Tasks};
+use bergamot_base::{Name, TaskSupervisor};
 use bergamot_feed::{
     FeedState, Members, Origin, QueryKind, QueryReport, ReadRole, RecordEvent, Sink, Source,
     Topology, ancestors, follow,
 };
 use bergamot_members::{Endpoint, Record, Role, State, ranked};
-use bergamot_net::{Body, Fault, listen, serve, text};
+use bergamot_net::{Body, NetworkError, listen, serve, text};
 use bergamot_peers::{
     Caller, Candidate, InstanceLocation, Peers, select_instances, select_serving,
 };
@@ -49,7 +49,7 @@
     relay: Arc<Relay>,
     peers: Arc<Peers>,
     feed: Arc<FeedState>,
-    tasks: Tasks,
+    tasks: TaskSupervisor,
     leaving: AtomicBool,
     /// The members that take callers, as of the last tick.
     serving: Mutex<BTreeSet<Ipv4Addr>>,
@@ -78,13 +78,13 @@
         relay: bergamot_relay::Settings,
         peers: bergamot_peers::Settings,
         source: Source,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, NetworkError> {
         let (stop, close) = (CancellationToken::new(), CancellationToken::new());
         let links = Arc::new(Channels::new(relay.address));
         let port = settings.members.port();
         let relay = Relay::new(relay, dialect, member::helping(&links, port));
         let feed = Arc::new(FeedState::default());
-        let tasks = Tasks::new(stop.clone());
+        let tasks = TaskSupervisor::new(stop.clone());
         let listener = listen(settings.members).await?;
         let serving = (Arc::clone(&relay), Arc::clone(&feed), stop.clone());
         tasks.spawn("members", member::serve(listener, serving.0, serving.1, serving.2));
@@ -135,7 +135,7 @@
             }
         });
         // The listener closes before the other tasks stop, and is watched until then.
-        let callers = tasks.until(close.clone()).spawn("callers", serving);
+        let callers = tasks.with_stop(close.clone()).spawn("callers", serving);
         Ok(Self { inner, stop, close, callers })
     }
 
@@ -147,7 +147,7 @@
     /// Waits until a task has ended without which the daemon can't go on; it is not ready any
     /// more, and should be stopped and started anew.
     pub async fn failed(&self) {
-        self.inner.tasks.failed().await;
+        self.inner.tasks.wait_for_failure().await;
     }
 
     /// Stops as planned; returns once everything that was read is answered.
@@ -385,7 +385,7 @@
     inner: &Arc<Inner>,
     stop: &CancellationToken,
     answer: fn(&Inner, &Uri) -> Response<Body>,
-) -> Result<(), Fault> {
+) -> Result<(), NetworkError> {
     let (listener, answering) = (listen(address).await?, Arc::clone(inner));
     let serving = serve(listener, stop.clone(), move |request, _peer| {
         let reply = answer(&answering, request.uri());
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -6,7 +6,7 @@
 
 use bergamot_base::Name;
 use bergamot_feed::{ChunkQueryFn, FeedState, NewsQueryFn, QueryError, QueryFuture};
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_quarantine::Fingerprint;
 use bergamot_relay::{Helping, MemberFuture, Relay};
 use bergamot_wire::{
@@ -184,7 +184,7 @@
     F: Future<Output = Result<T, RpcError>> + Send,
 {
     let asked = call(links, peer, until, ask);
-    let failed = move |cause| Fault::new(step, SocketAddr::from(peer), cause);
+    let failed = move |cause| NetworkError::new(step, SocketAddr::from(peer), cause);
     Box::pin(
         async move { asked.await.map_err(|cause| QueryError::Failed { source: failed(cause) }) },
     )
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -8,7 +8,7 @@
 use bergamot_base::{Deadline, Name, Revision, Searcher, Service, Shard, Version};
 use bergamot_config::Settings;
 use bergamot_members::{Role, State};
-use bergamot_net::{Fault, listen};
+use bergamot_net::{NetworkError, listen};
 use bergamot_node::Node;
 use bergamot_quarantine::SharedGate;
 use bergamot_query::Reason;
@@ -82,7 +82,7 @@
         if !self.node.awake().await {
             return Err(Refusal::Asleep);
         }
-        let bound = deadline.left(Instant::now()) / 2;
+        let bound = deadline.remaining(Instant::now()) / 2;
         if self.node.catch_up_to(revision, bound).await {
             let stale = |holding: &Arc<Holding>| holding.current.document.revision < revision;
             if self.holding().as_ref().is_none_or(stale) {
@@ -109,7 +109,7 @@
 
 impl Gather {
     /// Starts a gather and returns once it has a document and serves.
-    pub async fn start(settings: Arc<Settings>) -> Result<Running, Fault> {
+    pub async fn start(settings: Arc<Settings>) -> Result<Running, NetworkError> {
         let node = Node::start(settings, Role::Gather).await?;
         let settings = Arc::clone(node.settings());
         let address = (settings.instance.address, settings.ports.gather_peers).into();
@@ -132,7 +132,7 @@
             }
         }));
         let stop = CancellationToken::new();
-        let tasks = inner.node.tasks().until(stop.clone());
+        let tasks = inner.node.tasks().with_stop(stop.clone());
         tasks.spawn("follow", keeper::follow(Arc::clone(&inner), stop.clone()));
         tasks.spawn("keep", keeper::keep(Arc::clone(&inner), stop.clone()));
         let server = Server(Arc::clone(&inner));
@@ -154,7 +154,7 @@
 
     /// Waits until a task has ended without which the service can't go on.
     pub async fn failed(&self) {
-        self.inner.node.tasks().failed().await;
+        self.inner.node.tasks().wait_for_failure().await;
     }
 
     /// Ends at once and without a farewell, as a crash does. For tests and measurements.
@@ -334,5 +334,5 @@
 
 fn deadline(context: &Context) -> Deadline {
     let now = Instant::now();
-    Deadline::after(now, context.deadline.saturating_duration_since(now)).less(REPLY_MARGIN)
+    Deadline::after(now, context.deadline.saturating_duration_since(now)).with_margin(REPLY_MARGIN)
 }
--- a/crates/gather/src/shard.rs
+++ b/crates/gather/src/shard.rs
@@ -304,6 +304,6 @@
 }
 
 fn hedge_delay(job: &Job, floor: Duration) -> Duration {
-    let left = job.deadline.left(Instant::now());
+    let left = job.deadline.remaining(Instant::now());
     lock(&job.tail).pace.estimate().map_or(left / FIRST_HEDGE, |slow| slow.max(floor))
 }
--- a/crates/logger/src/changes.rs
+++ b/crates/logger/src/changes.rs
@@ -38,15 +38,15 @@
 
 /// Aggregates changes by kind until they are logged.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct ChangeAggregator {
     groups: BTreeMap<&'static str, Group>,
     last_flush: Option<Instant>,
     oldest: Option<Instant>,
 }
 
-impl Changes {
+impl ChangeAggregator {
     /// Records a change of the given kind.
-    pub fn note(&mut self, now: Instant, kind: &'static str, name: impl fmt::Display) {
+    pub fn record(&mut self, now: Instant, kind: &'static str, name: impl fmt::Display) {
         let group = self.groups.entry(kind).or_default();
         group.count += 1;
         if group.names.len() < MAX_PENDING_NAMES {
@@ -64,7 +64,7 @@
     /// oldest pending change.
     ///
     /// If `all` is set, every name is logged, spread over as many batches as necessary.
-    pub fn take(&mut self, now: Instant, all: bool) -> Vec<String> {
+    pub fn take_lines(&mut self, now: Instant, all: bool) -> Vec<String> {
         let Some(oldest) = self.oldest.filter(|_| self.is_due(now)) else {
             return Vec::new();
         };
--- a/crates/logger/tests/changes.rs
+++ b/crates/logger/tests/changes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use bergamot_logger::Changes;
+use bergamot_logger::ChangeAggregator;
 
 const TICK: Duration = Duration::from_millis(100);
 
@@ -11,20 +11,22 @@
 /// 400 changes a second, 810 searchers become ready, then 540 drain and are removed. Returns each
 /// line with the second in which it was written.
 fn repartition(all: bool) -> Vec<(u64, String)> {
-    let (start, mut changes) = (Instant::now(), Changes::default());
+    let (start, mut changes) = (Instant::now(), ChangeAggregator::default());
     let mut lines = Vec::new();
     for tick in 0..200_u32 {
         let now = start + TICK * tick;
         for step in 0..40 {
             let number = tick * 40 + step;
             match number {
-                0..810 => changes.note(now, "ready", format!("i-{number:08x}")),
-                810..1350 => changes.note(now, "draining", format!("i-{:08x}", number - 810)),
-                1350..1890 => changes.note(now, "missing", format!("i-{:08x}", number - 1350)),
+                0..810 => changes.record(now, "ready", format!("i-{number:08x}")),
+                810..1350 => changes.record(now, "draining", format!("i-{:08x}", number - 810)),
+                1350..1890 => changes.record(now, "missing", format!("i-{:08x}", number - 1350)),
                 _ => {}
             }
         }
-        lines.extend(changes.take(now, all).into_iter().map(|line| (u64::from(tick / 10), line)));
+        lines.extend(
+            changes.take_lines(now, all).into_iter().map(|line| (u64::from(tick / 10), line)),
+        );
     }
     lines
 }
@@ -65,13 +67,13 @@
 
 #[test]
 fn a_single_change_is_logged_at_once() {
-    let (now, mut changes) = (Instant::now(), Changes::default());
-    changes.note(now, "gone", "i-7");
-    assert_eq!(changes.take(now, false), ["kind=gone count=1 names=i-7 more=0 since_ms=0"]);
-    assert!(changes.take(now, false).is_empty(), "each change is logged once");
+    let (now, mut changes) = (Instant::now(), ChangeAggregator::default());
+    changes.record(now, "gone", "i-7");
+    assert_eq!(changes.take_lines(now, false), ["kind=gone count=1 names=i-7 more=0 since_ms=0"]);
+    assert!(changes.take_lines(now, false).is_empty(), "each change is logged once");
     // The next change is held back until the flush interval has passed.
-    changes.note(now + TICK, "gone", "i-8");
-    assert!(changes.take(now + TICK, false).is_empty());
-    let later = changes.take(now + TICK * 11, false);
+    changes.record(now + TICK, "gone", "i-8");
+    assert!(changes.take_lines(now + TICK, false).is_empty());
+    let later = changes.take_lines(now + TICK * 11, false);
     assert_eq!(later, ["kind=gone count=1 names=i-8 more=0 since_ms=1000"]);
 }
--- a/crates/members/tests/homes.rs
+++ b/crates/members/tests/homes.rs
@@ -109,7 +109,7 @@
     for instances in [6, 8, 24, 100, 1800] {
         let document = document(instances, 56, 3);
         let service = document.services.keys().next().expect("there is a service");
-        let together = document.layout.share(service) * 2 * document.layout.homes;
+        let together = document.layout.connections_per_home(service) * 2 * document.layout.homes;
         assert!(together <= 24, "{instances} instances hold {together} of 25");
     }
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Seed;
-use bergamot_declaration::{Gather, Kind, Route, Target};
+use bergamot_declaration::{Gather, Idempotency, Route, Target};
 use bergamot_dispatch::{AttemptPriority, Distance, GatherDecision, Tally};
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -448,7 +448,7 @@
         name: stream.name.into(),
         host: "model".into(),
         prefix: "/".into(),
-        kind: Kind::Idempotent,
+        kind: Idempotency::Idempotent,
         timeout: stream.deadline,
         target_latency: Some(stream.target),
         attempts: load.replicas,
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::Instant;
 
-use crate::dial::{Fault, dial};
+use crate::dial::{NetworkError, dial};
 
 /// A complete reply in memory.
 pub type Reply = Response<Bytes>;
@@ -21,18 +21,18 @@
 
 /// The default timeout for a reply body: enough for one megabyte, a third more when encoded as
 /// base64, over a tenth of the capacity of the slowest links (14 Mbit/s).
-pub const LONGEST_REPLY: Duration = Duration::from_secs(8);
+pub const REPLY_BODY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The timeouts for the phases of an exchange.
 ///
 /// A single timeout for the whole exchange would limit the size of the reply: over a slow link,
 /// a large reply would be aborted at the same point on each attempt and never be received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ReplyTimeouts {
     /// The timeout for receiving the reply head.
     pub head: Duration,
     /// The maximum time without data while the body is received.
-    pub silence: Duration,
+    pub idle: Duration,
     /// The timeout for the whole body, in case the server never ends it.
     pub body: Duration,
 }
@@ -50,11 +50,11 @@
         local: Ipv4Addr,
         remote: SocketAddr,
         timeout: Duration,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, NetworkError> {
         let stream = dial(local, remote, timeout).await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Fault::new("handshake", remote, error))?;
+            .map_err(|error| NetworkError::new("handshake", remote, error))?;
         tokio::spawn(connection);
         Ok(Self { remote, sender })
     }
@@ -65,12 +65,12 @@
     }
 
     /// Sends a request and reads the complete reply.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, Fault> {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, NetworkError> {
         let (parts, body) = self.send_for_head(request).await?.into_parts();
         let body = Limited::new(body, MAX_REPLY_BYTES)
             .collect()
             .await
-            .map_err(|error| Fault::new("read reply", self.remote, error))?;
+            .map_err(|error| NetworkError::new("read reply", self.remote, error))?;
         Ok(Response::from_parts(parts, body.to_bytes()))
     }
 
@@ -78,26 +78,27 @@
     ///
     /// Calls `on_head` when the reply head has been received. If the body fails, the error
     /// states how many bytes had been received.
-    pub async fn send_within(
+    pub async fn send_with_timeouts(
         &mut self,
         request: Request<Full<Bytes>>,
-        bounds: Bounds,
+        timeouts: ReplyTimeouts,
         on_head: impl FnOnce(),
-    ) -> Result<Reply, Fault> {
+    ) -> Result<Reply, NetworkError> {
         let remote = self.remote;
-        let head = tokio::time::timeout(bounds.head, self.send_for_head(request)).await;
-        let head = head.map_err(|elapsed| Fault::new("read reply head", remote, elapsed))??;
+        let head = tokio::time::timeout(timeouts.head, self.send_for_head(request)).await;
+        let head =
+            head.map_err(|elapsed| NetworkError::new("read reply head", remote, elapsed))??;
         on_head();
         let (parts, body) = head.into_parts();
         let mut body = Limited::new(body, MAX_REPLY_BYTES);
         let mut bytes = BytesMut::new();
-        let body_deadline = Instant::now() + bounds.body;
+        let body_deadline = Instant::now() + timeouts.body;
         loop {
-            let frame_deadline = body_deadline.min(Instant::now() + bounds.silence);
+            let frame_deadline = body_deadline.min(Instant::now() + timeouts.idle);
             let frame = tokio::time::timeout_at(frame_deadline, body.frame()).await;
             let fault = |cause: &dyn std::fmt::Display| {
                 let cause = format!("{cause} after {} bytes", bytes.len());
-                Fault::new("read reply", remote, cause)
+                NetworkError::new("read reply", remote, cause)
             };
             match frame.map_err(|elapsed| fault(&elapsed))? {
                 None => return Ok(Response::from_parts(parts, bytes.freeze())),
@@ -115,8 +116,9 @@
     async fn send_for_head(
         &mut self,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Fault> {
-        let fault = |step, error: &dyn std::fmt::Display| Fault::new(step, self.remote, error);
+    ) -> Result<Response<Incoming>, NetworkError> {
+        let fault =
+            |step, error: &dyn std::fmt::Display| NetworkError::new(step, self.remote, error);
         if let Ok(host) = self.remote.to_string().parse() {
             request.headers_mut().entry("host").or_insert(host);
         }
@@ -127,18 +129,19 @@
 
 /// Fetches a path over a new connection.
 ///
-/// `silence` limits the time for the connection, for the reply head and between parts of the
-/// body; the whole body may take up to [`LONGEST_REPLY`].
+/// `idle_timeout` limits the time for the connection, for the reply head and between parts of the
+/// body; the whole body may take up to [`REPLY_BODY_TIMEOUT`].
 pub async fn fetch(
     local: Ipv4Addr,
     remote: SocketAddr,
     path: &str,
-    silence: Duration,
-) -> Result<Reply, Fault> {
+    idle_timeout: Duration,
+) -> Result<Reply, NetworkError> {
     let request = Request::get(path)
         .body(Full::default())
-        .map_err(|error| Fault::new("build request", remote, error))?;
-    let mut client = Client::connect(local, remote, silence).await?;
-    let bounds = Bounds { head: silence, silence, body: LONGEST_REPLY };
-    client.send_within(request, bounds, || {}).await
+        .map_err(|error| NetworkError::new("build request", remote, error))?;
+    let mut client = Client::connect(local, remote, idle_timeout).await?;
+    let timeouts =
+        ReplyTimeouts { head: idle_timeout, idle: idle_timeout, body: REPLY_BODY_TIMEOUT };
+    client.send_with_timeouts(request, timeouts, || {}).await
 }
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -12,7 +12,7 @@
 /// A network error.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} {peer}: {cause}"))]
-pub struct Fault {
+pub struct NetworkError {
     /// The operation that failed.
     pub step: Step,
     /// The remote peer.
@@ -23,7 +23,7 @@
     pub refused: bool,
 }
 
-impl Fault {
+impl NetworkError {
     /// Creates an error that is not a refused connection.
     pub fn new(step: &'static str, peer: impl Into<Peer>, cause: impl fmt::Display) -> Self {
         Self { step: Step(step), peer: peer.into(), cause: cause.to_string(), refused: false }
@@ -35,8 +35,8 @@
     local: Ipv4Addr,
     remote: SocketAddr,
     timeout: Duration,
-) -> Result<TcpStream, Fault> {
-    let fault = |cause: &dyn fmt::Display| Fault::new("dial", remote, cause);
+) -> Result<TcpStream, NetworkError> {
+    let fault = |cause: &dyn fmt::Display| NetworkError::new("dial", remote, cause);
     let socket = TcpSocket::new_v4().map_err(|error| fault(&error))?;
     socket.bind(SocketAddr::from((local, 0))).map_err(|error| fault(&error))?;
     let stream = tokio::time::timeout(timeout, socket.connect(remote))
@@ -44,13 +44,13 @@
         .map_err(|elapsed| fault(&elapsed))?
         .map_err(|error| {
             let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-            Fault { refused, ..fault(&error) }
+            NetworkError { refused, ..fault(&error) }
         })?;
     stream.set_nodelay(true).map_err(|error| fault(&error))?;
     Ok(stream)
 }
 
 /// Opens a listener on an address.
-pub async fn listen(address: SocketAddr) -> Result<TcpListener, Fault> {
-    TcpListener::bind(address).await.map_err(|error| Fault::new("listen", address, error))
+pub async fn listen(address: SocketAddr) -> Result<TcpListener, NetworkError> {
+    TcpListener::bind(address).await.map_err(|error| NetworkError::new("listen", address, error))
 }
--- a/crates/net/src/hop.rs
+++ b/crates/net/src/headers.rs
@@ -21,7 +21,7 @@
 ];
 
 /// Removes the hop-by-hop headers, including those listed in `Connection`.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -7,10 +7,10 @@
 
 mod client;
 mod dial;
-mod hop;
+mod headers;
 mod serve;
 
-pub use client::{Bounds, Client, LONGEST_REPLY, Reply, fetch};
-pub use dial::{Fault, dial, listen};
-pub use hop::strip_hop;
-pub use serve::{Body, Rejection, json, read_body, serve, text};
+pub use client::{Client, REPLY_BODY_TIMEOUT, Reply, ReplyTimeouts, fetch};
+pub use dial::{NetworkError, dial, listen};
+pub use headers::strip_hop_by_hop_headers;
+pub use serve::{Body, BodyError, json, read_body, serve, text};
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -80,28 +80,28 @@
 
 /// The reason why a request body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejection {
+pub enum BodyError {
     /// The body is larger than the limit.
     TooLarge,
     /// The connection failed before the end of the body.
-    Cut,
+    Incomplete,
 }
 
-impl fmt::Display for Rejection {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLarge => "the body is larger than allowed",
-            Self::Cut => "the body was cut",
+            Self::Incomplete => "the body was cut",
         })
     }
 }
 
 /// Reads the complete body of a request, up to `limit` bytes.
-pub async fn read_body(request: Request<Incoming>, limit: usize) -> Result<Bytes, Rejection> {
+pub async fn read_body(request: Request<Incoming>, limit: usize) -> Result<Bytes, BodyError> {
     match Limited::new(request.into_body(), limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Rejection::TooLarge),
-        Err(_) => Err(Rejection::Cut),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLarge),
+        Err(_) => Err(BodyError::Incomplete),
     }
 }
 
--- a/crates/net/tests/bounds.rs
+++ b/crates/net/tests/bounds.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use bergamot_net::{Bounds, Client, Fault, Reply, fetch};
+use bergamot_net::{Client, NetworkError, Reply, ReplyTimeouts, fetch};
 use hyper::Request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -33,11 +33,15 @@
     address
 }
 
-async fn read(remote: SocketAddr, body: Duration) -> Result<Reply, Fault> {
+async fn read(remote: SocketAddr, body: Duration) -> Result<Reply, NetworkError> {
     let mut client = Client::connect(Ipv4Addr::LOCALHOST, remote, IDLE_TIMEOUT).await?;
     let request = Request::get("/").body(bergamot_net::Body::default()).expect("a request");
     client
-        .send_within(request, Bounds { head: IDLE_TIMEOUT, silence: IDLE_TIMEOUT, body }, || {})
+        .send_with_timeouts(
+            request,
+            ReplyTimeouts { head: IDLE_TIMEOUT, idle: IDLE_TIMEOUT, body },
+            || {},
+        )
         .await
 }
 
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -86,14 +86,14 @@
             () = node.stop.cancelled() => return,
             () = tokio::time::sleep(BEAT) => {}
         }
-        let Some(gap) = node.awake.beat(Instant::now()) else {
+        let Some(gap) = node.awake.tick(Instant::now()) else {
             continue;
         };
         node.meter().pauses.inc();
         log::warn!("node: {} slept for {} ms and catches up.", role(&node), gap.as_millis());
         // A bound on the whole of it: peers that don't answer must not keep us idle.
         let _ = tokio::time::timeout(BEAT * 5, pulls::catch_up(&node, false)).await;
-        node.awake.caught_up();
+        node.awake.set_caught_up();
     }
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use bergamot_base::{Awake, Incarnation, Name, Seed, Tasks};
-use bergamot_config::{Document, Floor, Settings, Verdict};
+use bergamot_base::{Incarnation, Name, PauseGate, Seed, TaskSupervisor};
+use bergamot_config::{Document, RevisionStatus, RevisionTracker, Settings};
 use bergamot_members::{
     Digest, Endpoint, Homes, Membership, Outgoing, Record, Role, Rumour, State, Suspicions, Timing,
     View,
 };
-use bergamot_net::{Fault, listen};
+use bergamot_net::{NetworkError, listen};
 use bergamot_quarantine::Quarantine;
 use prometheus::Registry;
 use rand::RngExt;
@@ -59,7 +59,7 @@
     pub(crate) membership: Membership,
     /// What members tell each other of requests under which searchers end.
     pub(crate) suspicions: Suspicions,
-    pub(crate) floor: Floor,
+    pub(crate) floor: RevisionTracker,
     pub(crate) rng: StdRng,
     homes_of: (u64, u64),
 }
@@ -77,12 +77,12 @@
     leaving: Mutex<BTreeMap<SocketAddr, Name>>,
     pub(crate) listed_leaving: Mutex<HashSet<SocketAddr>>,
     leaving_sink: OnceLock<LeavingSink>,
-    pub(crate) awake: Awake,
+    pub(crate) awake: PauseGate,
     pub(crate) socket: UdpSocket,
     pub(crate) refused: Mutex<HashSet<u64>>,
     pub(crate) pulling: tokio::sync::Mutex<()>,
     pub(crate) stop: CancellationToken,
-    tasks: Tasks,
+    tasks: TaskSupervisor,
     meter: Meter,
     registry: Registry,
     dumps: Mutex<Vec<(&'static str, Dump)>>,
@@ -98,12 +98,13 @@
     /// Binds the control and admin sockets and starts the control loops.
     ///
     /// The node has no document yet; see [`Node::join`].
-    pub async fn start(settings: Arc<Settings>, role: Role) -> Result<Arc<Self>, Fault> {
+    pub async fn start(settings: Arc<Settings>, role: Role) -> Result<Arc<Self>, NetworkError> {
         let me = Endpoint { ip: settings.instance.address, role };
         let incarnation = new_incarnation();
         let address = control_address(&settings, me);
-        let socket =
-            UdpSocket::bind(address).await.map_err(|e| Fault::new("bind control", address, e))?;
+        let socket = UdpSocket::bind(address)
+            .await
+            .map_err(|e| NetworkError::new("bind control", address, e))?;
         let stream_listener = listen(address).await?;
         let admin_listener = listen(admin_address(&settings, me)).await?;
         let (registry, stop) = (Registry::new(), CancellationToken::new());
@@ -119,11 +120,11 @@
             leaving: Mutex::default(),
             listed_leaving: Mutex::default(),
             leaving_sink: OnceLock::new(),
-            awake: Awake::new(settings.control.pause),
+            awake: PauseGate::new(settings.control.pause),
             socket,
             refused: Mutex::default(),
             pulling: tokio::sync::Mutex::default(),
-            tasks: Tasks::new(stop.clone()),
+            tasks: TaskSupervisor::new(stop.clone()),
             stop,
             meter: Meter::new(&registry),
             registry,
@@ -160,7 +161,7 @@
     }
 
     /// Returns the tasks without which the daemon can't go on.
-    pub fn tasks(&self) -> &Tasks {
+    pub fn tasks(&self) -> &TaskSupervisor {
         &self.tasks
     }
 
@@ -279,12 +280,12 @@
 
     /// Tells whether new work may start right now.
     pub fn is_awake(&self) -> bool {
-        self.awake.is_awake(Instant::now())
+        self.awake.is_open(Instant::now())
     }
 
     /// Waits, shortly, until new work may start.
     pub async fn awake(&self) -> bool {
-        self.awake.wait().await
+        self.awake.wait_open().await
     }
 
     /// Catches up with a sender that has a higher revision, within a bound.
@@ -326,7 +327,7 @@
         }
         {
             let control = self.lock();
-            let clashes = control.floor.clashes();
+            let clashes = control.floor.conflicts();
             let _ = write!(text, "clashes {clashes}\n\n[members]\n{}", control.membership.view());
         }
         let _ = write!(text, "\n[homes]\n{}", self.homes());
@@ -337,12 +338,12 @@
     }
 
     /// Puts a checked document in force if it is newer, and tells peers.
-    pub(crate) fn adopt(&self, document: Document) -> Verdict {
+    pub(crate) fn adopt(&self, document: Document) -> RevisionStatus {
         let (revision, hash) = (document.revision, document.hash);
         let mut control = self.lock();
         let verdict = control.floor.adopt(revision, hash);
         match verdict {
-            Verdict::Newer => {
+            RevisionStatus::Newer => {
                 self.current.store(Some(Arc::new(Current { document })));
                 self.meter.revision.set(revision as i64);
                 control.homes_of = (0, 0);
@@ -353,12 +354,12 @@
                 self.transmit(out);
                 log::info!("config: Revision {revision} is in force.");
             }
-            Verdict::Clash => {
-                self.meter.clashes.set(control.floor.clashes() as i64);
+            RevisionStatus::Conflict => {
+                self.meter.clashes.set(control.floor.conflicts() as i64);
                 drop(control);
                 log::error!("config: Revision {revision} came with other content; ours stays.");
             }
-            Verdict::Same | Verdict::Older => {}
+            RevisionStatus::Same | RevisionStatus::Older => {}
         }
         verdict
     }
@@ -426,7 +427,7 @@
         Self {
             membership: Membership::new(now, timing, me, seeds, seed.generator("membership")),
             suspicions: Suspicions::new(Arc::clone(quarantine)),
-            floor: Floor::default(),
+            floor: RevisionTracker::default(),
             rng: seed.generator("node"),
             homes_of: (0, 0),
         }
--- a/crates/node/src/pulls.rs
+++ b/crates/node/src/pulls.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bergamot_config::{Document, Parcel, Refusal, Verdict};
+use bergamot_config::{Document, DocumentTransfer, RevisionStatus, ValidationError};
 use bergamot_members::{Datagram, Digest, Endpoint};
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_wire::{Bundle, Pull, pull, serve_pulls};
 use rand::RngExt;
 use tokio::net::TcpListener;
@@ -36,7 +36,7 @@
     let parcel = node
         .current()
         .filter(|current| current.document.revision > request.revision)
-        .map(|current| Parcel::of(&current.document).without(&request.held));
+        .map(|current| DocumentTransfer::new(&current.document).omit(&request.held));
     let Some(theirs) = &request.view else {
         return Bundle { parcel, ..Bundle::default() };
     };
@@ -104,14 +104,18 @@
     node.meter().pulls.with_label_values(&[result]).inc();
 }
 
-async fn try_exchange(node: &Arc<Node>, peer: SocketAddr, with_view: bool) -> Result<(), Fault> {
+async fn try_exchange(
+    node: &Arc<Node>,
+    peer: SocketAddr,
+    with_view: bool,
+) -> Result<(), NetworkError> {
     let current = node.current();
     let view = with_view.then(|| node.with_view(|view| view.iter().cloned().collect()));
     let request = Pull {
         revision: current.as_ref().map_or(0, |current| current.document.revision),
         held: current
             .as_ref()
-            .map_or_else(Vec::new, |current| Parcel::of(&current.document).hashes()),
+            .map_or_else(Vec::new, |current| DocumentTransfer::new(&current.document).hashes()),
         view,
     };
     let local = node.settings().instance.address;
@@ -133,11 +137,11 @@
 }
 
 /// Puts a document in force if it is whole and newer; refuses it whole otherwise.
-pub(crate) fn offer(node: &Node, checked: Result<Document, Refusal>, from: SocketAddr) {
+pub(crate) fn offer(node: &Node, checked: Result<Document, ValidationError>, from: SocketAddr) {
     match checked {
         Ok(document) => {
             let revision = document.revision;
-            if node.adopt(document) == Verdict::Older {
+            if node.adopt(document) == RevisionStatus::Older {
                 log::debug!("config: {from} gave revision {revision}, which is older than ours.");
             }
         }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -9,12 +9,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use bergamot_base::{Incarnation, Name, Revision, Seed, Tasks};
-use bergamot_logger::Changes;
+use bergamot_base::{Incarnation, Name, Revision, Seed, TaskSupervisor};
+use bergamot_logger::ChangeAggregator;
 use bergamot_members::{
     Datagram, Digest, Endpoint, Membership, Outgoing, Record, Role, State, Suspicions, View,
 };
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_quarantine::Quarantine;
 use bergamot_wire::LARGEST_DATAGRAM;
 use rand::RngExt;
@@ -45,7 +45,7 @@
     /// The highest revision that a member stated to be in force there, which member, and when.
     highest_revision: Option<(Revision, Ipv4Addr, Instant)>,
     /// State changes of members that are yet to be logged.
-    changes: Changes,
+    changes: ChangeAggregator,
     /// The exchange of reports about requests that crash searchers.
     suspicions: Suspicions,
 }
@@ -94,11 +94,11 @@
     pub async fn start(
         settings: Settings,
         quarantine: Arc<Quarantine>,
-        tasks: &Tasks,
+        tasks: &TaskSupervisor,
         stop: CancellationToken,
-    ) -> Result<Arc<Self>, Fault> {
+    ) -> Result<Arc<Self>, NetworkError> {
         let address = SocketAddr::from((settings.address, settings.port));
-        let fault = |error| Fault::new("bind control", address, error);
+        let fault = |error| NetworkError::new("bind control", address, error);
         let socket = UdpSocket::bind(address).await.map_err(fault)?;
         let me = Record {
             endpoint: endpoint(settings.address),
@@ -117,7 +117,7 @@
             fresh: false,
             fresh_members: BTreeMap::new(),
             highest_revision: None,
-            changes: Changes::default(),
+            changes: ChangeAggregator::default(),
             suspicions: Suspicions::new(Arc::clone(&quarantine)),
         });
         let seeds = Mutex::new(settings.seeds.clone());
@@ -260,9 +260,9 @@
         let updated = suspicions.hear(now, membership);
         suspicions.settle(now, membership);
         for (member, state) in membership.take_changed() {
-            changes.note(now, state.label(), member.ip);
+            changes.record(now, state.label(), member.ip);
         }
-        let lines = changes.take(now, false);
+        let lines = changes.take_lines(now, false);
         let alive = membership.view().count_working();
         drop(control);
         self.transmit(out);
--- a/crates/query/src/shape.rs
+++ b/crates/query/src/shape.rs
@@ -42,7 +42,7 @@
     pub fn shards(&self, service: &ServiceRow) -> Vec<bergamot_base::Shard> {
         match self {
             Self::Scan | Self::Top { .. } => service.shards.clone(),
-            Self::Record { key } => vec![service.holder(key)],
+            Self::Record { key } => vec![service.shard_for_key(key)],
         }
     }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -11,7 +11,7 @@
 
 use bergamot_base::Deadline;
 use bergamot_dispatch::{Distance, Ending};
-use bergamot_net::strip_hop;
+use bergamot_net::strip_hop_by_hop_headers;
 use bergamot_upstream::Lease;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -207,7 +207,7 @@
     }
     let (parts, body) = response.into_parts();
     let mut headers = parts.headers;
-    strip_hop(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     let response = SearcherResponse { status, headers, body, signature: metadata.signature };
     if status.is_server_error() || !signed {
         let error =
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -54,7 +54,7 @@
     patience: RequestTimeouts,
     first: Option<TrialAnswer>,
 ) -> Reply {
-    let fewest = gather.fewest();
+    let fewest = gather.min_shards();
     let mut delays = relay.expected_delays(&gather.shards);
     if delays.len() < fewest {
         let served = delays.len();
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -113,7 +113,7 @@
         let patience =
             RequestTimeouts::new(route, request.deadline, usual, external, &self.settings.policy);
         let tally = match &route.target {
-            Target::Gather(gather) => Tally::new(gather.shards.len(), gather.fewest()),
+            Target::Gather(gather) => Tally::new(gather.shards.len(), gather.min_shards()),
             Target::Service(_) | Target::Split(_) => Tally::new(1, 1),
         };
         let kind = (Name::clone(&route.name), route.kind);
@@ -159,7 +159,7 @@
             Target::Gather(_) => None,
             Target::Service(service) => Some(Name::clone(service)),
             Target::Split(shares) => {
-                self.lock().splits.entry(Name::clone(route)).or_default().next(shares)
+                self.lock().splits.entry(Name::clone(route)).or_default().next_service(shares)
             }
         }
     }
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Name;
-use bergamot_declaration::Kind;
+use bergamot_declaration::Idempotency;
 use bergamot_dispatch::Tally;
 use bergamot_quarantine::{Fingerprint, SharedGate};
 use bytes::Bytes;
@@ -108,7 +108,7 @@
     pub request: Request,
     /// The route, under which the latency of attempts is recorded; empty to record none.
     pub route: Name,
-    pub kind: Kind,
+    pub kind: Idempotency,
     /// The number of searchers that may run the request, for each shard.
     pub max_attempts: usize,
     /// The count of the shards; a request to a single searcher has one.
@@ -129,7 +129,7 @@
     /// Creates the state for a request; the tally counts its shards.
     pub fn new(
         request: Request,
-        (route, kind): (Name, Kind),
+        (route, kind): (Name, Idempotency),
         max_attempts: usize,
         tally: Tally,
     ) -> Self {
--- a/crates/relay/src/race.rs
+++ b/crates/relay/src/race.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Name;
-use bergamot_declaration::Kind;
+use bergamot_declaration::Idempotency;
 use bergamot_dispatch::{AttemptPriority, Ending, RequestTimeouts};
 use bergamot_policy::Policy;
 use bergamot_quarantine::{Permit, TrialOutcome};
@@ -74,7 +74,7 @@
     /// Creates the plan for a request that was just received.
     pub(crate) fn new(job: &Job, patience: RequestTimeouts, policy: &Policy) -> Self {
         let at = |moment: Duration| job.request.received + moment;
-        let hedges = policy.hedge.on && job.kind == Kind::Idempotent;
+        let hedges = policy.hedge.on && job.kind == Idempotency::Idempotent;
         let hedge_at = hedges.then(|| at(patience.hedge));
         let (connect_by, usual_by) = (at(patience.connect), at(patience.hedge));
         Self {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -7,11 +7,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use bergamot_base::{Awake, Name, Position, Revision};
-use bergamot_config::Verdict;
+use bergamot_base::{Name, PauseGate, Position, Revision};
+use bergamot_config::RevisionStatus;
 use bergamot_declaration::Declaration;
 use bergamot_dispatch::{StallPeriod, Unavailability};
-use bergamot_logger::Changes;
+use bergamot_logger::ChangeAggregator;
 use bergamot_quarantine::Quarantine;
 use bergamot_registry::{Registry, Upstream};
 use bergamot_wire::{Late, ShardQuery, ShardReply};
@@ -36,13 +36,13 @@
     helping: Helping,
     /// Whether new requests must wait for a store update because the process was paused, and since
     /// when.
-    awake: Awake,
+    awake: PauseGate,
     woke_at: Mutex<Option<Instant>>,
     pub(crate) pending: Mutex<PendingResults>,
     /// Whether a request was received before the first declaration.
     early_request: AtomicBool,
     /// Searcher changes that have not been logged yet.
-    changes: Mutex<Changes>,
+    changes: Mutex<ChangeAggregator>,
     /// The period of the searchers' pauses.
     pub(crate) rhythm: StallPeriod,
     /// Requests suspected or known to crash searchers.
@@ -63,7 +63,7 @@
         let state = Mutex::new(State::new(&settings.policy));
         let delegates = Mutex::new(DelegateMembers::new(Arc::clone(&settings.policy)));
         let (pending, changes) = (Mutex::default(), Mutex::default());
-        let awake = Awake::new(settings.pause_threshold);
+        let awake = PauseGate::new(settings.pause_threshold);
         let (meter, woke_at) = (Meter::new(), Mutex::default());
         let rhythm = StallPeriod::default();
         Arc::new(Self {
@@ -183,10 +183,10 @@
     }
 
     /// Applies a checked declaration if it is newer than the current one.
-    pub fn apply_declaration(&self, declaration: Declaration) -> Verdict {
+    pub fn apply_declaration(&self, declaration: Declaration) -> RevisionStatus {
         let mut state = self.lock();
         let verdict = state.version_floor.adopt(declaration.version, declaration.digest);
-        if verdict == Verdict::Newer {
+        if verdict == RevisionStatus::Newer {
             let (version, routes) = (declaration.version, declaration.routes.len());
             log::info!("relay: event=declaration_in_force version={version} routes={routes}");
             let names: HashSet<&Name> =
@@ -239,7 +239,7 @@
     ) {
         let now = Instant::now();
         if self.with_registry(|registry| change(registry, now)) {
-            self.lock_changes().note(now, kind, searcher);
+            self.lock_changes().record(now, kind, searcher);
         }
     }
 
@@ -253,12 +253,12 @@
             return;
         }
         let (position, all) = at();
-        for line in self.lock_changes().take(now, all) {
+        for line in self.lock_changes().take_lines(now, all) {
             log::info!("relay: event=searchers_changed position={position} {line}");
         }
     }
 
-    fn lock_changes(&self) -> MutexGuard<'_, Changes> {
+    fn lock_changes(&self) -> MutexGuard<'_, ChangeAggregator> {
         self.changes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -341,17 +341,17 @@
         if !self.settings.policy.catch_up.on {
             return;
         }
-        if !self.awake.wait().await {
+        if !self.awake.wait_open().await {
             log::warn!(
                 "relay: event=not_caught_up cause=\"no store update received since the pause\""
             );
-            self.awake.caught_up();
+            self.awake.set_caught_up();
         }
     }
 
     /// Returns whether the process was paused and has received no update since.
     pub fn is_behind(&self) -> bool {
-        !self.awake.is_awake(Instant::now())
+        !self.awake.is_open(Instant::now())
     }
 
     /// Records that an update requested at `asked` was received.
@@ -359,7 +359,7 @@
         let mut woke_at = self.woke_at.lock().unwrap_or_else(PoisonError::into_inner);
         if woke_at.is_some_and(|woke_at| asked >= woke_at) {
             *woke_at = None;
-            self.awake.caught_up();
+            self.awake.set_caught_up();
         }
     }
 
@@ -383,7 +383,7 @@
     /// Detects a pause of the process.
     fn detect_pause(&self) {
         let now = Instant::now();
-        if let Some(gap) = self.awake.beat(now) {
+        if let Some(gap) = self.awake.tick(now) {
             *self.woke_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
             log::warn!("relay: event=woke slept_ms={}", gap.as_millis());
         }
@@ -398,7 +398,7 @@
         let mut state = self.lock();
         let away = state.store_unavailable_since.is_some();
         for searcher in state.registry.expire(Instant::now(), away) {
-            self.lock_changes().note(Instant::now(), "gone", searcher);
+            self.lock_changes().record(Instant::now(), "gone", searcher);
         }
         let changed = state.members != members;
         state.members = members;
--- a/crates/relay/src/shard_query.rs
+++ b/crates/relay/src/shard_query.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Name;
-use bergamot_declaration::Kind;
+use bergamot_declaration::Idempotency;
 use bergamot_dispatch::{Ending, RECORD_LEN, Tally, merge_top_k};
 use bergamot_wire::{Late, Shard, ShardQuery, ShardReply};
 use bytes::Bytes;
@@ -116,7 +116,7 @@
     // Attempts for other members must not affect the latencies that this member learns for its own
     // routes, hence the empty route name. The sender is told of each failure and logs it.
     let tally = Tally::new(names.len(), names.len());
-    let job = Arc::new(Job::new(request, (Name::from(""), Kind::Idempotent), 1, tally));
+    let job = Arc::new(Job::new(request, (Name::from(""), Idempotency::Idempotent), 1, tally));
     let (sender, results) = mpsc::unbounded_channel();
     let mut running = Vec::with_capacity(names.len());
     for (index, name) in names.iter().enumerate() {
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use bergamot_base::Name;
-use bergamot_config::Floor;
-use bergamot_declaration::{Declaration, Split};
+use bergamot_config::RevisionTracker;
+use bergamot_declaration::{Declaration, WeightedRoundRobin};
 use bergamot_dispatch::{CallerOverhead, RetryBudget, ZoneRoundTrips};
 use bergamot_logger::Sampler;
 use bergamot_policy::Policy;
@@ -29,13 +29,13 @@
 
 /// The mutable state of a relay.
 pub(crate) struct State {
-    pub(crate) version_floor: Floor,
+    pub(crate) version_floor: RevisionTracker,
     pub(crate) declaration: Option<Arc<Declaration>>,
     pub(crate) registry: Registry,
     pub(crate) coverage: CachedCoverage,
     pub(crate) round_trips: ZoneRoundTrips,
     pub(crate) links: HashMap<Incarnation, Arc<SearcherLink>>,
-    pub(crate) splits: HashMap<Name, Split>,
+    pub(crate) splits: HashMap<Name, WeightedRoundRobin>,
     pub(crate) allowances: HashMap<Name, RetryBudget>,
     pub(crate) latencies: HashMap<Name, LatencyPercentile>,
     pub(crate) arrivals: HashMap<Name, CallerOverhead>,
@@ -54,7 +54,7 @@
 impl State {
     pub(crate) fn new(policy: &Policy) -> Self {
         Self {
-            version_floor: Floor::default(),
+            version_floor: RevisionTracker::default(),
             declaration: None,
             registry: Registry::new(policy.doubt),
             coverage: CachedCoverage::default(),
--- a/crates/relay/tests/awake.rs
+++ b/crates/relay/tests/awake.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bergamot_declaration::{Kind, Target};
+use bergamot_declaration::{Idempotency, Target};
 use bergamot_registry::State;
 use bergamot_relay::{Cause, Reply};
 use support::{part, relay_with_short_pause, request, route, upstream};
@@ -17,7 +17,7 @@
 async fn after_a_pause_a_searcher_that_left_meanwhile_gets_nothing() {
     let a = part(1).await;
     let target = Target::Service("a".into());
-    let routes = vec![route("/one/", Kind::NonIdempotent, target)];
+    let routes = vec![route("/one/", Idempotency::NonIdempotent, target)];
     let relay = relay_with_short_pause(routes, vec![upstream("i1", "a", &a)]);
     relay.tick(1, false);
     std::thread::sleep(PAUSE);
@@ -38,7 +38,7 @@
 #[tokio::test]
 async fn news_that_was_asked_for_before_the_pause_does_not_count() {
     let a = part(1).await;
-    let routes = vec![route("/one/", Kind::NonIdempotent, Target::Service("a".into()))];
+    let routes = vec![route("/one/", Idempotency::NonIdempotent, Target::Service("a".into()))];
     let relay = relay_with_short_pause(routes, vec![upstream("i1", "a", &a)]);
     relay.tick(1, false);
     let before = Instant::now();
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn a_pause_without_news_after_it_holds_requests_once() {
     let a = part(1).await;
-    let routes = vec![route("/one/", Kind::NonIdempotent, Target::Service("a".into()))];
+    let routes = vec![route("/one/", Idempotency::NonIdempotent, Target::Service("a".into()))];
     let relay = relay_with_short_pause(routes, vec![upstream("i1", "a", &a)]);
     relay.tick(1, false);
     std::thread::sleep(PAUSE);
--- a/crates/relay/tests/coverage.rs
+++ b/crates/relay/tests/coverage.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Name;
-use bergamot_declaration::{Kind, Target};
+use bergamot_declaration::{Idempotency, Target};
 use bergamot_registry::{State, Upstream};
 use bergamot_relay::Relay;
 use support::{gather, part, relay, route, upstream};
@@ -22,9 +22,9 @@
     let at =
         |id, service, zone: &str| Upstream { zone: zone.into(), ..upstream(id, service, &script) };
     let routes = vec![
-        route("/g/", Kind::Idempotent, gather(&["a", "b"], 0.5)),
-        route("/h/", Kind::Idempotent, gather(&["b"], 0.5)),
-        route("/s/", Kind::Idempotent, Target::Service("c".into())),
+        route("/g/", Idempotency::Idempotent, gather(&["a", "b"], 0.5)),
+        route("/h/", Idempotency::Idempotent, gather(&["b"], 0.5)),
+        route("/s/", Idempotency::Idempotent, Target::Service("c".into())),
     ];
     let relay = relay(routes, vec![at("1", "a", "here"), at("2", "b", "here")]);
     assert_eq!(zones(&relay), [("here".to_owned(), 2)]);
--- a/crates/relay/tests/fatal.rs
+++ b/crates/relay/tests/fatal.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use bergamot_declaration::{Kind, Target};
+use bergamot_declaration::{Idempotency, Target};
 use bergamot_relay::{Cause, Relay, Reply, Request};
 use bergamot_standin::{Script, Step};
 use bytes::Bytes;
@@ -53,7 +53,7 @@
     let upstreams = searchers.iter().enumerate();
     let upstreams =
         upstreams.map(|(at, (service, script))| upstream(&format!("i{at}"), service, script));
-    relay(vec![route("/q/", Kind::Idempotent, target)], upstreams.collect())
+    relay(vec![route("/q/", Idempotency::Idempotent, target)], upstreams.collect())
 }
 
 /// The fatal request, with an identifier for the given repetition.
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::hash_bytes;
-use bergamot_declaration::Kind;
+use bergamot_declaration::Idempotency;
 use bergamot_registry::Upstream;
 use bergamot_relay::{DelegateMember, Helping, MergedResponse, Relay};
 use bergamot_standin::Script;
@@ -51,7 +51,7 @@
         // It is still warming up and assumed to be slow, so the one in the west is preferred.
         Upstream { warm_at: Instant::now() + HOUR, ..at("east", upstream("a-east", "a", east)) },
     ];
-    let routes = vec![route("/q/", Kind::Idempotent, gather(&["a", "b"], 0.5))];
+    let routes = vec![route("/q/", Idempotency::Idempotent, gather(&["a", "b"], 0.5))];
     let relay = relay_with_members(helping, routes, upstreams);
     let helper = |ip, zone: &str| DelegateMember { ip, zone: zone.into(), region: zone.into() };
     relay.set_delegate_members(vec![helper(MEMBER, "west"), helper(MEMBER, "east")]);
--- a/crates/relay/tests/many.rs
+++ b/crates/relay/tests/many.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use bergamot_declaration::Kind;
+use bergamot_declaration::Idempotency;
 use bergamot_relay::{Cause, Reply};
 use bergamot_standin::Step;
 use support::{gather, merged, not_run, ok, part, record, relay, request, route, script, upstream};
@@ -14,7 +14,7 @@
     let (a, b, c) = (part(1).await, part(9).await, part(5).await);
     let upstreams = vec![upstream("i1", "a", &a), upstream("i2", "b", &b), upstream("i3", "c", &c)];
     let target = gather(&["a", "b", "c"], 1.0);
-    let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
+    let relay = relay(vec![route("/q/", Idempotency::Idempotent, target)], upstreams);
     let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!(&*answer.records, [record(9), record(5)].concat());
     let mut signatures: Vec<_> = answer.signatures.iter().map(|s| s.as_bytes().to_vec()).collect();
@@ -32,7 +32,7 @@
     let upstreams =
         vec![upstream("i1", "a", &a), upstream("i2", "b", &b), upstream("i3", "c", &silent)];
     let target = gather(&["a", "b", "c"], 0.6);
-    let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
+    let relay = relay(vec![route("/q/", Idempotency::Idempotent, target)], upstreams);
     let started = Instant::now();
     let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 1));
@@ -51,7 +51,7 @@
         upstream("i3", "c", &refusing),
     ];
     let target = gather(&["a", "b", "c"], 0.6);
-    let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
+    let relay = relay(vec![route("/q/", Idempotency::Idempotent, target)], upstreams);
     let Reply::Refused(refusal) = relay.handle(request("/q/")).await else {
         panic!("expected a refusal with one shard of three");
     };
@@ -63,7 +63,8 @@
 async fn a_request_whose_shards_have_no_searcher_has_not_run() {
     let a = part(1).await;
     let target = gather(&["a", "b", "c"], 0.6);
-    let relay = relay(vec![route("/q/", Kind::Idempotent, target)], vec![upstream("i1", "a", &a)]);
+    let relay =
+        relay(vec![route("/q/", Idempotency::Idempotent, target)], vec![upstream("i1", "a", &a)]);
     let Reply::Refused(refusal) = relay.handle(request("/q/")).await else {
         panic!("expected a refusal with one shard of three");
     };
@@ -77,7 +78,8 @@
     let silent = script(|_| vec![Step::Hang]).await;
     let upstreams =
         vec![upstream("i1", "a", &a), upstream("i2", "b", &silent), upstream("i3", "b", &b)];
-    let relay = relay(vec![route("/q/", Kind::Idempotent, gather(&["a", "b"], 1.0))], upstreams);
+    let relay =
+        relay(vec![route("/q/", Idempotency::Idempotent, gather(&["a", "b"], 1.0))], upstreams);
     for _ in 0..3 {
         let answer = merged(relay.handle(request("/q/")).await);
         assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
@@ -98,7 +100,7 @@
     let upstreams =
         vec![upstream("i1", "a", &a), upstream("i2", "b", &b), upstream("i3", "c", &slow)];
     let target = gather(&["a", "b", "c"], 0.6);
-    let relay = relay(vec![route("/q/", Kind::Idempotent, target)], upstreams);
+    let relay = relay(vec![route("/q/", Idempotency::Idempotent, target)], upstreams);
     let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 1));
     let cut = async {
--- a/crates/relay/tests/one.rs
+++ b/crates/relay/tests/one.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use bergamot_declaration::{Kind, Target};
+use bergamot_declaration::{Idempotency, Target};
 use bergamot_registry::State;
 use bergamot_relay::{Cause, Refusal, Reply, SearcherResponse};
 use bergamot_standin::{Seen, Step};
@@ -31,8 +31,10 @@
 #[tokio::test]
 async fn a_request_and_its_answer_pass_unchanged() {
     let one = script(|seen| ok(seen, "sig", b"answer")).await;
-    let relay =
-        relay(vec![route("/a/", Kind::Idempotent, service())], vec![upstream("i1", "s", &one)]);
+    let relay = relay(
+        vec![route("/a/", Idempotency::Idempotent, service())],
+        vec![upstream("i1", "s", &one)],
+    );
     let answer = forwarded(relay.handle(request("/a/b?c=d")).await);
     assert_eq!((&*answer.body, answer.status.as_u16()), (&b"answer"[..], 200));
     assert_eq!(answer.headers["x-signature"], "sig");
@@ -46,7 +48,7 @@
 
 #[tokio::test]
 async fn a_request_without_a_route_or_a_searcher_is_refused_without_an_attempt() {
-    let relay = relay(vec![route("/a/", Kind::Idempotent, service())], Vec::new());
+    let relay = relay(vec![route("/a/", Idempotency::Idempotent, service())], Vec::new());
     assert_eq!(refused(relay.handle(request("/b/")).await).cause, Cause::NoRoute);
     let refusal = refused(relay.handle(request("/a/")).await);
     assert!(refusal.cause == Cause::NotRun && refusal.retry_after.is_some());
@@ -57,7 +59,7 @@
     let refusing = script(|_| not_run("503 Service Unavailable")).await;
     let good = script(|seen| ok(seen, "sig", b"done")).await;
     let upstreams = vec![upstream("i1", "s", &refusing), upstream("i2", "s", &good)];
-    let relay = relay(vec![route("/a/", Kind::NonIdempotent, service())], upstreams);
+    let relay = relay(vec![route("/a/", Idempotency::NonIdempotent, service())], upstreams);
     for _ in 0..4 {
         assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"done");
     }
@@ -69,7 +71,7 @@
     let resetting = |_: &Seen| vec![Step::Reset];
     let (one, two) = (script(resetting).await, script(resetting).await);
     let upstreams = vec![upstream("i1", "s", &one), upstream("i2", "s", &two)];
-    let relay = relay(vec![route("/a/", Kind::NonIdempotent, service())], upstreams);
+    let relay = relay(vec![route("/a/", Idempotency::NonIdempotent, service())], upstreams);
     assert_eq!(refused(relay.handle(request("/a/")).await).cause, Cause::Lost);
     assert_eq!(one.seen().len() + two.seen().len(), 1);
 }
@@ -100,7 +102,7 @@
         let bad = script(fault).await;
         let good = script(|seen| ok(seen, "sig", b"whole")).await;
         let upstreams = vec![upstream("i1", "s", &bad), upstream("i2", "s", &good)];
-        let relay = relay(vec![route("/a/", Kind::Idempotent, service())], upstreams);
+        let relay = relay(vec![route("/a/", Idempotency::Idempotent, service())], upstreams);
         for _ in 0..3 {
             let answer = forwarded(relay.handle(request("/a/")).await);
             assert_eq!(&*answer.body, b"whole", "{name}");
@@ -117,7 +119,7 @@
     };
     let (one, two) = (script(twice).await, script(twice).await);
     let upstreams = vec![upstream("i1", "s", &one), upstream("i2", "s", &two)];
-    let relay = relay(vec![route("/a/", Kind::Idempotent, service())], upstreams);
+    let relay = relay(vec![route("/a/", Idempotency::Idempotent, service())], upstreams);
     for turn in 0..8 {
         let mut request = request("/a/");
         request.id = hyper::header::HeaderValue::from(turn);
@@ -134,8 +136,10 @@
         Step::Send(text.into_bytes())
     };
     let one = script(move |seen| vec![unframed(seen), Step::Close]).await;
-    let relay =
-        relay(vec![route("/a/", Kind::NonIdempotent, service())], vec![upstream("i1", "s", &one)]);
+    let relay = relay(
+        vec![route("/a/", Idempotency::NonIdempotent, service())],
+        vec![upstream("i1", "s", &one)],
+    );
     assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"all of it");
 }
 
@@ -144,7 +148,7 @@
     let other = script(|_| not_run("421 Misdirected Request")).await;
     let good = script(|seen| ok(seen, "sig", b"mine")).await;
     let upstreams = vec![upstream("old", "s", &other), upstream("i2", "s", &good)];
-    let relay = relay(vec![route("/a/", Kind::NonIdempotent, service())], upstreams);
+    let relay = relay(vec![route("/a/", Idempotency::NonIdempotent, service())], upstreams);
     for _ in 0..6 {
         assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"mine");
     }
@@ -156,8 +160,10 @@
     let failing =
         |seen: &Seen| vec![Step::Send(reply(seen, "500 Internal Server Error", "sig", b"no"))];
     let one = script(failing).await;
-    let relay =
-        relay(vec![route("/a/", Kind::NonIdempotent, service())], vec![upstream("i1", "s", &one)]);
+    let relay = relay(
+        vec![route("/a/", Idempotency::NonIdempotent, service())],
+        vec![upstream("i1", "s", &one)],
+    );
     let answer = forwarded(relay.handle(request("/a/")).await);
     assert_eq!((answer.status.as_u16(), &*answer.body), (500, &b"no"[..]));
 }
@@ -167,7 +173,7 @@
     let silent = script(|_| vec![Step::Hang]).await;
     let good = script(|seen| ok(seen, "sig", b"there")).await;
     let upstreams = vec![upstream("i1", "s", &silent), upstream("i2", "s", &good)];
-    let relay = relay(vec![route("/a/", Kind::Idempotent, service())], upstreams);
+    let relay = relay(vec![route("/a/", Idempotency::Idempotent, service())], upstreams);
     for _ in 0..4 {
         assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"there");
     }
@@ -177,7 +183,7 @@
 async fn the_searcher_is_left_when_the_caller_leaves() {
     let silent = script(|_| vec![Step::Hang]).await;
     let relay = relay(
-        vec![route("/a/", Kind::NonIdempotent, service())],
+        vec![route("/a/", Idempotency::NonIdempotent, service())],
         vec![upstream("i1", "s", &silent)],
     );
     let left = tokio::time::timeout(Duration::from_millis(100), relay.handle(request("/a/")));
@@ -196,7 +202,7 @@
     let one = script(|seen| ok(seen, "sig", b"one")).await;
     let two = script(|seen| ok(seen, "sig", b"two")).await;
     let upstreams = vec![upstream("i1", "s", &one), upstream("i2", "s", &two)];
-    let relay = relay(vec![route("/a/", Kind::Idempotent, service())], upstreams);
+    let relay = relay(vec![route("/a/", Idempotency::Idempotent, service())], upstreams);
     let draining =
         bergamot_registry::Upstream { state: State::Draining, ..upstream("i1", "s", &one) };
     relay.with_registry(|registry| registry.publish(draining, Instant::now()));
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bergamot_declaration::{Kind, Target};
+use bergamot_declaration::{Idempotency, Target};
 use bergamot_registry::{Incarnation, Upstream};
 use bergamot_relay::{Cause, Relay, Reply};
 use bergamot_standin::{Script, Seen, Step};
@@ -21,7 +21,7 @@
     relay.with_registry(|registry| registry.publish(upstream, Instant::now()));
 }
 
-fn relay_with_service(kind: Kind, upstreams: Vec<Upstream>) -> Arc<Relay> {
+fn relay_with_service(kind: Idempotency, upstreams: Vec<Upstream>) -> Arc<Relay> {
     relay(vec![route("/a/", kind, Target::Service("s".into()))], upstreams)
 }
 
@@ -40,7 +40,7 @@
 #[tokio::test]
 async fn the_next_start_gets_connections_of_its_own() {
     let (previous, next) = (answering(b"former").await, answering(b"next").await);
-    let relay = relay_with_service(Kind::NonIdempotent, vec![started_at(1, &previous)]);
+    let relay = relay_with_service(Idempotency::NonIdempotent, vec![started_at(1, &previous)]);
     assert_eq!(body(relay.handle(request("/a/")).await), b"former");
     publish(&relay, started_at(2, &next));
     assert_eq!(body(relay.handle(request("/a/")).await), b"next");
@@ -54,7 +54,7 @@
     let failing = script(|_| vec![Step::Reset]).await;
     let other = answering(b"other").await;
     let relay = relay_with_service(
-        Kind::Idempotent,
+        Idempotency::Idempotent,
         vec![started_at(1, &failing), upstream("i2", "s", &other)],
     );
     for _ in 0..6 {
@@ -74,7 +74,7 @@
 async fn a_request_that_may_run_once_is_not_sent_again_after_a_restart() {
     let resets = script(|_| vec![Step::Wait(Duration::from_millis(80)), Step::Reset]).await;
     let next = answering(b"next").await;
-    let relay = relay_with_service(Kind::NonIdempotent, vec![started_at(1, &resets)]);
+    let relay = relay_with_service(Idempotency::NonIdempotent, vec![started_at(1, &resets)]);
     let asked = Arc::clone(&relay);
     let response = tokio::spawn(async move { asked.handle(request("/a/")).await });
     tokio::time::sleep(Duration::from_millis(40)).await;
@@ -93,7 +93,7 @@
         [vec![Step::Wait(Duration::from_millis(80))], ok(seen, "sig", b"former")].concat()
     };
     let (previous, next) = (script(slow).await, answering(b"next").await);
-    let relay = relay_with_service(Kind::NonIdempotent, vec![started_at(1, &previous)]);
+    let relay = relay_with_service(Idempotency::NonIdempotent, vec![started_at(1, &previous)]);
     let asked = Arc::clone(&relay);
     let response = tokio::spawn(async move { asked.handle(request("/a/")).await });
     tokio::time::sleep(Duration::from_millis(40)).await;
@@ -110,7 +110,7 @@
         vec![Step::Send(text.as_bytes().to_vec())]
     };
     let (previous, next) = (script(moved).await, answering(b"next").await);
-    let relay = relay_with_service(Kind::NonIdempotent, vec![started_at(1, &previous)]);
+    let relay = relay_with_service(Idempotency::NonIdempotent, vec![started_at(1, &previous)]);
     match relay.handle(request("/a/")).await {
         Reply::Refused(refusal) => assert_eq!(refusal.cause, Cause::NotRun),
         other => panic!("expected a refusal, got {other:?}"),
@@ -131,7 +131,7 @@
     let slow = |_: &Seen| vec![Step::Wait(Duration::from_millis(60)), Step::Reset];
     let (previous, next) = (script(slow).await, script(|seen| ok(seen, "s", &record(7))).await);
     let relay = relay(
-        vec![route("/g/", Kind::Idempotent, gather(&["s"], 1.0))],
+        vec![route("/g/", Idempotency::Idempotent, gather(&["s"], 1.0))],
         vec![started_at(1, &previous)],
     );
     let asked = Arc::clone(&relay);
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::Name;
-use bergamot_declaration::{Declaration, Gather, Kind, Route, Service, Target};
+use bergamot_declaration::{Declaration, Gather, Idempotency, Route, Service, Target};
 use bergamot_dispatch::RetryBudgetLimits;
 use bergamot_registry::{Incarnation, State, Upstream};
 use bergamot_relay::{
@@ -80,7 +80,7 @@
 }
 
 /// A route with a target latency of 400 ms and a timeout of 2 s.
-pub fn route(prefix: &str, kind: Kind, target: Target) -> Route {
+pub fn route(prefix: &str, kind: Idempotency, target: Target) -> Route {
     Route {
         name: prefix.into(),
         host: "h".into(),
--- a/crates/standin/src/border.rs
+++ b/crates/standin/src/border.rs
@@ -7,7 +7,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use bergamot_net::{Fault, listen};
+use bergamot_net::{NetworkError, listen};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -42,7 +42,7 @@
 
 impl Border {
     /// Opens the ways.
-    pub async fn open(ways: &[Way]) -> Result<Self, Fault> {
+    pub async fn open(ways: &[Way]) -> Result<Self, NetworkError> {
         let border = Self { cut: watch::Sender::new(false), stop: CancellationToken::new() };
         for way in ways {
             let from = SocketAddr::from((way.ip, way.dialled));
@@ -58,7 +58,7 @@
             if way.datagrams {
                 let socket = UdpSocket::bind(from)
                     .await
-                    .map_err(|error| Fault::new("bind border", from, error))?;
+                    .map_err(|error| NetworkError::new("bind border", from, error))?;
                 let (cut, stop) = (border.cut.subscribe(), border.stop.clone());
                 tokio::spawn(async move {
                     tokio::select! {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bergamot_base::{Name, Revision};
-use bergamot_net::{Body, Fault, json, listen, read_body, serve, text};
+use bergamot_net::{Body, NetworkError, json, listen, read_body, serve, text};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -62,7 +62,10 @@
 
 impl Platform {
     /// Starts both services.
-    pub async fn start(configuration: SocketAddr, instances: SocketAddr) -> Result<Self, Fault> {
+    pub async fn start(
+        configuration: SocketAddr,
+        instances: SocketAddr,
+    ) -> Result<Self, NetworkError> {
         let inner = Arc::new(Inner {
             document: watch::Sender::new(Published::default()),
             stale: Mutex::default(),
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use bergamot_net::{Fault, listen};
+use bergamot_net::{NetworkError, listen};
 use socket2::SockRef;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -75,11 +75,11 @@
     /// Starts a server at a free port of loopback.
     pub async fn start(
         play: impl Fn(&Seen) -> Vec<Step> + Send + Sync + 'static,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, NetworkError> {
         let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
         let address =
-            listener.local_addr().map_err(|error| Fault::new("listen", unknown, error))?;
+            listener.local_addr().map_err(|error| NetworkError::new("listen", unknown, error))?;
         let (seen, gone) = (Arc::default(), Arc::default());
         let (stop, closed) = (CancellationToken::new(), CancellationToken::new());
         let script = Self { address, seen, gone, stop, closed };
--- a/crates/standin/src/searcher.rs
+++ b/crates/standin/src/searcher.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_base::{Epoch, Name, Seed, Version};
-use bergamot_net::{Body, Fault, json, listen, read_body, text};
+use bergamot_net::{Body, NetworkError, json, listen, read_body, text};
 use bergamot_upstream::protocol::{self, Receipt, Search, SearchReply, Write};
 use hyper::body::Incoming;
 use hyper::header::{HeaderName, HeaderValue};
@@ -83,7 +83,7 @@
 
 impl Searcher {
     /// Starts a searcher.
-    pub async fn start(settings: SearcherSettings) -> Result<Self, Fault> {
+    pub async fn start(settings: SearcherSettings) -> Result<Self, NetworkError> {
         let listener = listen(settings.address).await?;
         let mut rng = settings.seed.generator(&format!("searcher {}", settings.address));
         let run = Name::from(format!("{:016x}", rand::rng().random::<u64>()));
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -248,7 +248,7 @@
     fn may_send_now(&self, call: &RequestContext, may_send: &impl Fn() -> bool) -> bool {
         let leaving = self.health().is_leaving();
         !leaving
-            && !call.deadline.passed(Instant::now())
+            && !call.deadline.has_passed(Instant::now())
             && !call.cancel.is_cancelled()
             && may_send()
     }
@@ -261,7 +261,7 @@
         content: &T,
     ) -> Request<Full<Bytes>> {
         let body = serde_json::to_vec(content).expect("protocol types always serialize");
-        let left = call.deadline.left(Instant::now()).as_micros().to_string();
+        let left = call.deadline.remaining(Instant::now()).as_micros().to_string();
         Request::builder()
             .method(method)
             .uri(path)
--- a/crates/upstream/src/client_set.rs
+++ b/crates/upstream/src/client_set.rs
@@ -59,7 +59,7 @@
         for searcher in held {
             let row = &document.searchers[*searcher];
             let service = document.shards[row.shard].service;
-            let share = document.layout.share(service);
+            let share = document.layout.connections_per_home(service);
             let slots = document.services[service].slots.min(share);
             let client = self.clients.get(&row.address).map_or_else(
                 || {
--- a/crates/upstream/src/hedged_request.rs
+++ b/crates/upstream/src/hedged_request.rs
@@ -55,7 +55,7 @@
     /// caller must then replace the attempt that is running there.
     pub fn hedge(&mut self, budget: &mut Budget) -> Option<Searcher> {
         let repeat = self.repeat.filter(|first| self.running.contains(first));
-        if self.ended || (self.untried.is_empty() && repeat.is_none()) || !budget.spend() {
+        if self.ended || (self.untried.is_empty() && repeat.is_none()) || !budget.try_spend() {
             return None;
         }
         if self.untried.is_empty() {
@@ -76,7 +76,7 @@
             return NextAction::Wait;
         }
         if !self.untried.is_empty()
-            && budget.spend()
+            && budget.try_spend()
             && let Some(next) = self.send()
         {
             return NextAction::Send(next);
--- a/crates/upstream/src/slots.rs
+++ b/crates/upstream/src/slots.rs
@@ -70,7 +70,7 @@
         }
         let ahead = self.queue.range(..(deadline, u64::MAX)).count();
         let wait = self.expected_wait(ahead);
-        if self.queue.len() >= self.max_queued || wait + self.mean > deadline.left(now) {
+        if self.queue.len() >= self.max_queued || wait + self.mean > deadline.remaining(now) {
             return Admission::Rejected(wait.max(Duration::from_millis(1)));
         }
         self.sequence += 1;
@@ -91,7 +91,7 @@
             return None;
         }
         while let Some(((deadline, _), waiter)) = self.queue.pop_first() {
-            if !deadline.passed(now) {
+            if !deadline.has_passed(now) {
                 self.in_use += 1;
                 return Some(waiter);
             }
--- a/crates/wire/src/channel.rs
+++ b/crates/wire/src/channel.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bergamot_net::{Fault, dial};
+use bergamot_net::{NetworkError, dial};
 use futures::{Stream, StreamExt};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -62,7 +62,7 @@
     }
 
     /// Returns the client of a peer, dialling where there is none.
-    pub async fn get(&self, peer: SocketAddr) -> Result<C, Fault> {
+    pub async fn get(&self, peer: SocketAddr) -> Result<C, NetworkError> {
         let place = Arc::clone(self.open.lock().await.entry(peer).or_default());
         let mut place = place.lock().await;
         if let Some(client) = &*place {
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use bergamot_base::{Name, Revision};
-use bergamot_config::Parcel;
+use bergamot_config::DocumentTransfer;
 use bergamot_members::Record;
-use bergamot_net::{Fault, LONGEST_REPLY, dial};
+use bergamot_net::{NetworkError, REPLY_BODY_TIMEOUT, dial};
 use futures::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -45,7 +45,7 @@
 pub struct Bundle {
     /// The document in force, where it is newer.
     #[serde(rename = "p")]
-    pub parcel: Option<Parcel>,
+    pub parcel: Option<DocumentTransfer>,
     /// The whole view, where it was asked for.
     #[serde(rename = "v")]
     pub view: Vec<Record>,
@@ -64,22 +64,22 @@
     peer: SocketAddr,
     request: &Pull,
     silence: Duration,
-) -> Result<(Bundle, usize), Fault> {
+) -> Result<(Bundle, usize), NetworkError> {
     let exchange = async {
         let stream = bounded(dial(local, peer, silence).await?, silence);
         let address = format!("ws://{peer}/");
         let (mut socket, _) = client_async(address, stream)
             .await
-            .map_err(|error| Fault::new("open control stream", peer, error))?;
+            .map_err(|error| NetworkError::new("open control stream", peer, error))?;
         send(&mut socket, request, peer).await?;
         let answer = receive(&mut socket, peer).await?;
         // The exchange is over whether or not the close reaches the peer.
         let _ = socket.close(None).await;
         Ok(answer)
     };
-    tokio::time::timeout(LONGEST_REPLY, exchange)
+    tokio::time::timeout(REPLY_BODY_TIMEOUT, exchange)
         .await
-        .map_err(|elapsed| Fault::new("pull", peer, elapsed))?
+        .map_err(|elapsed| NetworkError::new("pull", peer, elapsed))?
 }
 
 fn bounded(stream: TcpStream, silence: Duration) -> Stream {
@@ -104,7 +104,7 @@
         let answer = answer.clone();
         tokio::spawn(async move {
             let exchange = serve_one(bounded(stream, SERVE), peer, answer);
-            match tokio::time::timeout(SERVE + LONGEST_REPLY, exchange).await {
+            match tokio::time::timeout(SERVE + REPLY_BODY_TIMEOUT, exchange).await {
                 Ok(Ok(())) => {}
                 Ok(Err(fault)) => log::debug!("wire: Pull failed: {fault}."),
                 Err(elapsed) => log::debug!("wire: Pull by {peer} failed: {elapsed}."),
@@ -117,10 +117,10 @@
     stream: Stream,
     peer: SocketAddr,
     answer: impl Fn(Pull) -> Bundle,
-) -> Result<(), Fault> {
+) -> Result<(), NetworkError> {
     let mut socket = accept_async(stream)
         .await
-        .map_err(|error| Fault::new("accept control stream", peer, error))?;
+        .map_err(|error| NetworkError::new("accept control stream", peer, error))?;
     let (request, _) = receive(&mut socket, peer).await?;
     send(&mut socket, &answer(request), peer).await?;
     while let Some(Ok(_)) = socket.next().await {}
@@ -131,27 +131,27 @@
     socket: &mut WebSocketStream<Stream>,
     message: &T,
     peer: SocketAddr,
-) -> Result<(), Fault> {
+) -> Result<(), NetworkError> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes)
-        .map_err(|error| Fault::new("encode control message", peer, error))?;
+        .map_err(|error| NetworkError::new("encode control message", peer, error))?;
     socket
         .send(Message::binary(bytes))
         .await
-        .map_err(|error| Fault::new("send control message", peer, error))
+        .map_err(|error| NetworkError::new("send control message", peer, error))
 }
 
 async fn receive<T: DeserializeOwned>(
     socket: &mut WebSocketStream<Stream>,
     peer: SocketAddr,
-) -> Result<(T, usize), Fault> {
+) -> Result<(T, usize), NetworkError> {
     let message = socket
         .next()
         .await
         .unwrap_or(Err(Error::ConnectionClosed))
-        .map_err(|error| Fault::new("receive control message", peer, error))?;
+        .map_err(|error| NetworkError::new("receive control message", peer, error))?;
     let bytes = message.into_data();
     let value = ciborium::from_reader(&*bytes)
-        .map_err(|error| Fault::new("decode control message", peer, error))?;
+        .map_err(|error| NetworkError::new("decode control message", peer, error))?;
     Ok((value, bytes.len()))
 }
--- a/daemons/src/bin/bergamotctl.rs
+++ b/daemons/src/bin/bergamotctl.rs
@@ -184,7 +184,7 @@
         peer: bergamot_base::Peer::File(name.as_ref().into()),
         source,
     })?;
-    Document::parse(&text).map_err(|refusal| Failure::Refused { source: refusal.at(&name) })
+    Document::parse(&text).map_err(|error| Failure::Refused { source: error.with_file(&name) })
 }
 
 fn dump(options: &Dump) -> Result<(), Failure> {
--- a/daemons/src/launch.rs
+++ b/daemons/src/launch.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bergamot_base::{Name, Peer, Step};
-use bergamot_config::{Refusal, Settings};
+use bergamot_config::{Settings, ValidationError};
 use bergamot_node::{Stop, stop_signal};
 use gumdrop::Options;
 use snafu::Snafu;
@@ -34,7 +34,7 @@
     #[snafu(display("{source}"))]
     Refused {
         /// Every fault.
-        source: Refusal,
+        source: ValidationError,
     },
     /// A service or an exchange failed.
     #[snafu(display("{cause}"))]
@@ -80,7 +80,7 @@
 pub fn load_settings(path: &Path) -> Result<Settings, Failure> {
     let text = read("read settings", path)?;
     Settings::parse(&text)
-        .map_err(|refusal| Failure::Refused { source: refusal.at(&path.to_string_lossy()) })
+        .map_err(|error| Failure::Refused { source: error.with_file(&path.to_string_lossy()) })
 }
 
 /// Returns the text of `--help`.
@@ -121,7 +121,7 @@
 /// gracefully.
 pub fn run<R, S, F, T>(program: &str, about: &str, service: &Service<S, F, T>) -> ExitCode
 where
-    S: AsyncFn(Arc<Settings>) -> Result<R, bergamot_net::Fault>,
+    S: AsyncFn(Arc<Settings>) -> Result<R, bergamot_net::NetworkError>,
     F: AsyncFn(&R),
     T: AsyncFn(R),
 {
@@ -168,7 +168,7 @@
     service: &Service<S, F, T>,
 ) -> Result<ExitCode, Failure>
 where
-    S: AsyncFn(Arc<Settings>) -> Result<R, bergamot_net::Fault>,
+    S: AsyncFn(Arc<Settings>) -> Result<R, bergamot_net::NetworkError>,
     F: AsyncFn(&R),
     T: AsyncFn(R),
 {
