--- a/crates/base/src/tasks.rs
+++ b/crates/base/src/tasks.rs
@@ -1,10 +1,10 @@
-//! The long-lived tasks of a process, watched.
+//! Supervision of the long-lived tasks of a process.
 //!
-//! A runtime goes on when one of its tasks panics. A process whose follower, prober or listener
-//! is gone would look ready and learn nothing more, for as long as it runs. Invariant: a
-//! watched task that ends although nobody asked it to is logged with its cause, and whoever
-//! waits for [`Tasks::failed`] hears of it, to stop the process as planned; all of its state is
-//! soft, so the run that follows it has it again within seconds.
+//! The runtime keeps running when a task panics. A process that has lost its follower, prober
+//! or listener would still appear ready but receive no further updates. Invariant: a supervised
+//! task that ends without a stop request is logged with its cause and completes
+//! [`TaskSupervisor::wait_for_failure`], upon which the process is to shut down gracefully. Its
+//! state is soft, so that its next run rebuilds it within seconds.
 
 use std::any::Any;
 
@@ -12,64 +12,66 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// The long-lived tasks of a process.
+/// Supervises the long-lived tasks of a process.
 #[derive(Clone, Debug)]
-pub struct Tasks {
+pub struct TaskSupervisor {
     stop: CancellationToken,
     failed: watch::Sender<bool>,
 }
 
-impl Tasks {
-    /// Watches tasks until `stop`, after which they may end.
+impl TaskSupervisor {
+    /// Creates a supervisor whose tasks may end only after `stop` is cancelled.
     pub fn new(stop: CancellationToken) -> Self {
         Self { stop, failed: watch::Sender::new(false) }
     }
 
-    /// Watches further tasks, until another stop, as tasks of the same process.
+    /// Creates a supervisor with another stop token that reports failures to the same process.
     #[must_use]
-    pub fn until(&self, stop: CancellationToken) -> Self {
+    pub fn with_stop(&self, stop: CancellationToken) -> Self {
         Self { stop, failed: self.failed.clone() }
     }
 
-    /// Starts a task that must not end before the stop; what is returned ends with it.
+    /// Spawns a task that must not end before the stop token is cancelled.
+    ///
+    /// The returned handle completes when the task has ended.
     pub fn spawn(
         &self,
         name: &'static str,
         task: impl Future<Output = ()> + Send + 'static,
     ) -> JoinHandle<()> {
-        let (tasks, task) = (self.clone(), tokio::spawn(task));
+        let (supervisor, task) = (self.clone(), tokio::spawn(task));
         tokio::spawn(async move {
-            let ended = task.await;
-            if tasks.stop.is_cancelled() {
+            let result = task.await;
+            if supervisor.stop.is_cancelled() {
                 return;
             }
-            let cause = match ended {
-                Ok(()) => "it returned".to_owned(),
+            let cause = match result {
+                Ok(()) => "the task returned before it was stopped".to_owned(),
                 Err(error) => error
                     .try_into_panic()
-                    .map_or_else(|error| error.to_string(), |panic| message(&*panic)),
+                    .map_or_else(|error| error.to_string(), |panic| panic_message(&*panic)),
             };
             log::error!("tasks: event=task_ended task={name} cause={cause:?}");
-            tasks.failed.send_replace(true);
+            supervisor.failed.send_replace(true);
         })
     }
 
-    /// Tells whether a task has ended that must not.
+    /// Returns whether a task has ended before it was stopped.
     pub fn has_failed(&self) -> bool {
         *self.failed.borrow()
     }
 
-    /// Waits until a task has ended that must not.
-    pub async fn failed(&self) {
+    /// Waits until a task has ended before it was stopped.
+    pub async fn wait_for_failure(&self) {
         let mut failed = self.failed.subscribe();
-        // The sender lives as long as self, so waiting can't fail.
+        // This cannot fail, because `self` owns the sender.
         let _ = failed.wait_for(|failed| *failed).await;
     }
 }
 
-/// Returns what a panic says.
-pub fn message(panic: &(dyn Any + Send)) -> String {
+/// Returns the message of a panic payload.
+pub fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
     let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-    text.unwrap_or_else(|| "it panicked without a text".to_owned())
+    text.unwrap_or_else(|| "panic with a payload that is not a string".to_owned())
 }
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -167,7 +167,7 @@
         Preference::Time => inner.node.settings().entry.margin,
         Preference::Coverage => RESPONSE_MARGIN,
     };
-    let deadline = requested.less(margin);
+    let deadline = requested.with_margin(margin);
     let queries: Vec<_> = services
         .iter()
         .map(|service| Query {
@@ -256,8 +256,13 @@
     })?;
     ensure_awake(inner).await?;
     let key = key.unwrap_or_else(|| inner.write_executor.generate_key());
-    let write =
-        WriteRequest { workspace, service, record, body, deadline: deadline.less(RESPONSE_MARGIN) };
+    let write = WriteRequest {
+        workspace,
+        service,
+        record,
+        body,
+        deadline: deadline.with_margin(RESPONSE_MARGIN),
+    };
     let outcome = inner.write_executor.run(key.clone(), write).await;
     let answer = WriteAnswer::new(Name::clone(id), Name::from(key.to_string()), outcome);
     let label = match answer.outcome {
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -123,7 +123,7 @@
             if best.as_ref().is_none_or(is_better) {
                 best = Some((plan, outcome));
             }
-            let left = query.deadline.left(Instant::now());
+            let left = query.deadline.remaining(Instant::now());
             if (newer_revision.is_none() && !replan) || left.is_zero() {
                 break;
             }
@@ -166,7 +166,7 @@
         }
         let lookup_deadline =
             Deadline::after(Instant::now(), VERSION_LOOKUP_TIMEOUT).earlier(query.deadline);
-        while !lookup_deadline.passed(Instant::now()) {
+        while !lookup_deadline.has_passed(Instant::now()) {
             self.fetch_versions(current, service, lookup_deadline).await;
             if let Some(version) = self.known_version(current, &shards) {
                 return Some(version);
@@ -294,7 +294,7 @@
             None => return Err(error),
         }
         lock(&self.second_request_budget).earn();
-        let half = query.deadline.left(Instant::now()) / 2;
+        let half = query.deadline.remaining(Instant::now()) / 2;
         let second_at = Instant::now() + half.max(failover);
         let mut second_pending = true;
         loop {
@@ -315,7 +315,7 @@
                 () = tokio::time::sleep_until(second_at.into()), if second_pending => {
                     second_pending = false;
                     error = CellError::TimedOut;
-                    if lock(&self.second_request_budget).spend() && let Some(home) = homes.next() {
+                    if lock(&self.second_request_budget).try_spend() && let Some(home) = homes.next() {
                         running.push(self.query_home(query, plan, home, shards));
                     }
                 }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -7,7 +7,7 @@
 use bergamot_base::{Deadline, Name};
 use bergamot_config::Settings;
 use bergamot_members::{Role, State};
-use bergamot_net::{Fault, listen, serve};
+use bergamot_net::{NetworkError, listen, serve};
 use bergamot_node::Node;
 use bergamot_wire::{Entry as EntryRpc, run_requests, serve_requests, transport};
 use bergamot_write::{Key, Outcome};
@@ -64,7 +64,7 @@
 
 impl Entry {
     /// Starts an entry and returns once it has a document and accepts requests.
-    pub async fn start(settings: Arc<Settings>) -> Result<EntryHandle, Fault> {
+    pub async fn start(settings: Arc<Settings>) -> Result<EntryHandle, NetworkError> {
         let node = Node::start(settings, Role::Entry).await?;
         let settings = Arc::clone(node.settings());
         let ip = settings.instance.address;
@@ -103,7 +103,7 @@
 
     /// Waits until a task that the service requires has ended.
     pub async fn failed(&self) {
-        self.inner.node.tasks().failed().await;
+        self.inner.node.tasks().wait_for_failure().await;
     }
 
     /// Stops immediately without notifying other members, as a crash does. For tests and
@@ -144,7 +144,7 @@
     listener: TcpListener,
     stop: CancellationToken,
 ) -> JoinHandle<()> {
-    let tasks = inner.node.tasks().until(stop.clone());
+    let tasks = inner.node.tasks().with_stop(stop.clone());
     let inner = Arc::clone(inner);
     let serving =
         serve(listener, stop, move |request, _peer| http::handle(Arc::clone(&inner), request));
@@ -156,7 +156,7 @@
     listener: TcpListener,
     stop: CancellationToken,
 ) -> JoinHandle<()> {
-    let tasks = inner.node.tasks().until(stop.clone());
+    let tasks = inner.node.tasks().with_stop(stop.clone());
     let server = Server(Arc::clone(&inner.write_executor));
     let serving = serve_requests(listener, stop, move |stream, open| {
         let requests = transport(stream).execute(EntryRpc::serve(server.clone()));
@@ -195,7 +195,7 @@
     ) -> Outcome {
         let now = Instant::now();
         let left = context.deadline.saturating_duration_since(now);
-        let deadline = Deadline::after(now, left).less(FORWARD_MARGIN);
+        let deadline = Deadline::after(now, left).with_margin(FORWARD_MARGIN);
         let write = WriteRequest { workspace, service, record, body, deadline };
         self.0.run_local(key, write).await
     }
--- a/crates/entry/src/write.rs
+++ b/crates/entry/src/write.rs
@@ -164,7 +164,7 @@
         let Some(service) = document.service(&write.workspace, &write.service) else {
             return Outcome::not_run("the service is gone");
         };
-        let shard = document.services[service].holder(&write.record);
+        let shard = document.services[service].shard_for_key(&write.record);
         let order = WriteOrder {
             revision: document.revision,
             shard,
@@ -177,7 +177,7 @@
             let Ok(client) = self.query_executor.channels().get(address).await else {
                 continue;
             };
-            if write.deadline.passed(Instant::now()) {
+            if write.deadline.has_passed(Instant::now()) {
                 return Outcome::not_run("the deadline passed before sending");
             }
             match client.write(context(write.deadline), order.clone()).await {
--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -12,13 +12,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use bergamot_base::{Name, Tasks};
+use bergamot_base::{Name, TaskSupervisor};
 use bergamot_feed::{
     FeedState, Members, Origin, QueryKind, QueryReport, ReadRole, RecordEvent, Sink, Source,
     Topology, ancestors, follow,
 };
 use bergamot_members::{Endpoint, Record, Role, State, rank_members};
-use bergamot_net::{Body, Fault, listen, serve, text};
+use bergamot_net::{Body, NetworkError, listen, serve, text};
 use bergamot_peers::{
     Caller, Candidate, InstanceLocation, Peers, select_instances, select_serving,
 };
@@ -50,7 +50,7 @@
     relay: Arc<Relay>,
     peers: Arc<Peers>,
     feed: Arc<FeedState>,
-    tasks: Tasks,
+    tasks: TaskSupervisor,
     leaving: AtomicBool,
     /// The members that serve callers, as of the last tick.
     serving: Mutex<BTreeSet<Ipv4Addr>>,
@@ -79,13 +79,13 @@
         relay: bergamot_relay::Settings,
         peers: bergamot_peers::Settings,
         source: Source,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, NetworkError> {
         let (stop, close_listener) = (CancellationToken::new(), CancellationToken::new());
         let channels = Arc::new(Channels::new(relay.address));
         let port = settings.members.port();
         let relay = Relay::new(relay, dialect, member::relay_calls(&channels, port));
         let feed = Arc::new(FeedState::default());
-        let tasks = Tasks::new(stop.clone());
+        let tasks = TaskSupervisor::new(stop.clone());
         let listener = listen(settings.members).await?;
         let server = member::serve(listener, Arc::clone(&relay), Arc::clone(&feed), stop.clone());
         tasks.spawn("members", server);
@@ -136,7 +136,7 @@
             }
         });
         // The listener closes before the other tasks stop; until then its end counts as a failure.
-        let caller_listener = tasks.until(close_listener.clone()).spawn("callers", server);
+        let caller_listener = tasks.with_stop(close_listener.clone()).spawn("callers", server);
         Ok(Self { inner, stop, close_listener, caller_listener })
     }
 
@@ -148,7 +148,7 @@
     /// Waits until an essential task has ended unexpectedly. The daemon is then no longer ready
     /// and should be restarted.
     pub async fn failed(&self) {
-        self.inner.tasks.failed().await;
+        self.inner.tasks.wait_for_failure().await;
     }
 
     /// Performs a planned stop; returns once every request that was read is answered, or when the
@@ -398,7 +398,7 @@
     inner: &Arc<Inner>,
     stop: &CancellationToken,
     respond: fn(&Inner, &Uri) -> Response<Body>,
-) -> Result<(), Fault> {
+) -> Result<(), NetworkError> {
     let (listener, for_pages) = (listen(address).await?, Arc::clone(inner));
     let server = serve(listener, stop.clone(), move |request, _peer| {
         let response = respond(&for_pages, request.uri());
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -8,7 +8,7 @@
 use bergamot_base::{Deadline, Name, Revision, Searcher, Service, Shard, Version};
 use bergamot_config::Settings;
 use bergamot_members::{Role, State};
-use bergamot_net::{Fault, listen};
+use bergamot_net::{NetworkError, listen};
 use bergamot_node::Node;
 use bergamot_quarantine::SharedGate;
 use bergamot_query::Reason;
@@ -92,7 +92,7 @@
         if !self.node.wait_until_awake().await {
             return Err(Refusal::Asleep);
         }
-        let timeout = deadline.left(Instant::now()) / 2;
+        let timeout = deadline.remaining(Instant::now()) / 2;
         if self.node.catch_up_to(revision, timeout).await {
             let stale =
                 |assignment: &Arc<Assignment>| assignment.current.document.revision < revision;
@@ -120,7 +120,7 @@
 
 impl Gather {
     /// Starts a gather and returns once it has a document and accepts requests.
-    pub async fn start(settings: Arc<Settings>) -> Result<GatherHandle, Fault> {
+    pub async fn start(settings: Arc<Settings>) -> Result<GatherHandle, NetworkError> {
         let node = Node::start(settings, Role::Gather).await?;
         let settings = Arc::clone(node.settings());
         let address = (settings.instance.address, settings.ports.gather_peers).into();
@@ -143,7 +143,7 @@
             }
         }));
         let stop = CancellationToken::new();
-        let tasks = inner.node.tasks().until(stop.clone());
+        let tasks = inner.node.tasks().with_stop(stop.clone());
         tasks.spawn("follow", maintenance::follow_assignment(Arc::clone(&inner), stop.clone()));
         tasks.spawn("keep", maintenance::maintain_clients(Arc::clone(&inner), stop.clone()));
         let server = Server(Arc::clone(&inner));
@@ -165,7 +165,7 @@
 
     /// Waits until a task that the service requires has ended.
     pub async fn failed(&self) {
-        self.inner.node.tasks().failed().await;
+        self.inner.node.tasks().wait_for_failure().await;
     }
 
     /// Stops immediately without notifying other members, as a crash does. For tests and
@@ -366,5 +366,5 @@
 
 fn reply_deadline(context: &Context) -> Deadline {
     let now = Instant::now();
-    Deadline::after(now, context.deadline.saturating_duration_since(now)).less(REPLY_MARGIN)
+    Deadline::after(now, context.deadline.saturating_duration_since(now)).with_margin(REPLY_MARGIN)
 }
--- a/crates/gather/src/shard.rs
+++ b/crates/gather/src/shard.rs
@@ -321,7 +321,7 @@
 }
 
 fn hedge_delay(context: &SubQueryContext, floor: Duration) -> Duration {
-    let left = context.deadline.left(Instant::now());
+    let left = context.deadline.remaining(Instant::now());
     lock(&context.service_state)
         .latency
         .estimate()
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client: one connection, one exchange at a time.
+//! A minimal HTTP client that handles one exchange at a time on a single connection.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::Instant;
 
-use crate::dial::{Fault, dial};
+use crate::dial::{NetworkError, dial};
 
-/// A whole reply in memory.
+/// A complete reply in memory.
 pub type Reply = Response<Bytes>;
 
-/// The largest reply that is read, in bytes.
-const LARGEST: usize = 64 << 20;
+/// The maximum size of a reply body in bytes.
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// How long a reply may come in: a megabyte over a tenth of the slowest links (14 Mbit/s),
-/// with a third more where it is base64.
-pub const LONGEST_REPLY: Duration = Duration::from_secs(8);
+/// The default timeout for a reply body: enough for one megabyte, a third more when encoded as
+/// base64, over a tenth of the capacity of the slowest links (14 Mbit/s).
+pub const REPLY_BODY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long an exchange may take, told by its progress.
+/// The timeouts for the phases of an exchange.
 ///
-/// A bound on the whole of an exchange is a bound on the size of its reply: over a slow link a
-/// large one is cut each time, at the same place, and never read.
+/// A single timeout for the whole exchange would limit the size of the reply: over a slow link,
+/// a large reply would be aborted at the same point on each attempt and never be received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// How long the head of the reply may take.
+pub struct ReplyTimeouts {
+    /// The timeout for receiving the reply head.
     pub head: Duration,
-    /// How long nothing may come in midway.
-    pub silence: Duration,
-    /// How long the body may take, against a server that never ends.
+    /// The maximum time without data while the body is received.
+    pub idle: Duration,
+    /// The timeout for the whole body, in case the server never ends it.
     pub body: Duration,
 }
 
@@ -45,58 +45,60 @@
 }
 
 impl Client {
-    /// Dials a server.
+    /// Connects to a server from the address `local`.
     pub async fn connect(
         local: Ipv4Addr,
         remote: SocketAddr,
         timeout: Duration,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, NetworkError> {
         let stream = dial(local, remote, timeout).await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Fault::new("handshake", remote, error))?;
+            .map_err(|error| NetworkError::new("handshake", remote, error))?;
         tokio::spawn(connection);
         Ok(Self { remote, sender })
     }
 
-    /// Tells whether the connection can take another request.
+    /// Returns whether the connection can be used for another request.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request and reads the whole reply.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, Fault> {
-        let (parts, body) = self.head(request).await?.into_parts();
-        let whole = Limited::new(body, LARGEST)
+    /// Sends a request and reads the complete reply.
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, NetworkError> {
+        let (parts, body) = self.send_for_head(request).await?.into_parts();
+        let body = Limited::new(body, MAX_REPLY_BYTES)
             .collect()
             .await
-            .map_err(|error| Fault::new("read reply", self.remote, error))?;
-        Ok(Response::from_parts(parts, whole.to_bytes()))
+            .map_err(|error| NetworkError::new("read reply", self.remote, error))?;
+        Ok(Response::from_parts(parts, body.to_bytes()))
     }
 
-    /// Sends a request and reads the reply for as long as it comes in.
+    /// Sends a request and reads the complete reply within the given timeouts.
     ///
-    /// `arriving` hears when the reply has begun. A fault says how much of it had come in.
-    pub async fn send_within(
+    /// Calls `on_head` when the reply head has been received. If the body fails, the error
+    /// states how many bytes had been received.
+    pub async fn send_with_timeouts(
         &mut self,
         request: Request<Full<Bytes>>,
-        bounds: Bounds,
-        arriving: impl FnOnce(),
-    ) -> Result<Reply, Fault> {
+        timeouts: ReplyTimeouts,
+        on_head: impl FnOnce(),
+    ) -> Result<Reply, NetworkError> {
         let remote = self.remote;
-        let head = tokio::time::timeout(bounds.head, self.head(request)).await;
-        let head = head.map_err(|elapsed| Fault::new("read head of reply", remote, elapsed))??;
-        arriving();
+        let head = tokio::time::timeout(timeouts.head, self.send_for_head(request)).await;
+        let head =
+            head.map_err(|elapsed| NetworkError::new("read reply head", remote, elapsed))??;
+        on_head();
         let (parts, body) = head.into_parts();
-        let mut body = Limited::new(body, LARGEST);
+        let mut body = Limited::new(body, MAX_REPLY_BYTES);
         let mut bytes = BytesMut::new();
-        let end = Instant::now() + bounds.body;
+        let body_deadline = Instant::now() + timeouts.body;
         loop {
-            let until = end.min(Instant::now() + bounds.silence);
-            let frame = tokio::time::timeout_at(until, body.frame()).await;
+            let frame_deadline = body_deadline.min(Instant::now() + timeouts.idle);
+            let frame = tokio::time::timeout_at(frame_deadline, body.frame()).await;
             let fault = |cause: &dyn std::fmt::Display| {
                 let cause = format!("{cause} after {} bytes", bytes.len());
-                Fault::new("read reply", remote, cause)
+                NetworkError::new("read reply", remote, cause)
             };
             match frame.map_err(|elapsed| fault(&elapsed))? {
                 None => return Ok(Response::from_parts(parts, bytes.freeze())),
@@ -110,12 +112,13 @@
         }
     }
 
-    /// Sends a request and reads the head of the reply.
-    async fn head(
+    /// Sends a request and reads the reply head.
+    async fn send_for_head(
         &mut self,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Fault> {
-        let fault = |step, error: &dyn std::fmt::Display| Fault::new(step, self.remote, error);
+    ) -> Result<Response<Incoming>, NetworkError> {
+        let fault =
+            |step, error: &dyn std::fmt::Display| NetworkError::new(step, self.remote, error);
         if let Ok(host) = self.remote.to_string().parse() {
             request.headers_mut().entry("host").or_insert(host);
         }
@@ -124,17 +127,21 @@
     }
 }
 
-/// Fetches a path over a connection of its own; the server may be silent for `silence`.
+/// Fetches a path over a new connection.
+///
+/// `idle_timeout` limits the time for the connection, for the reply head and between parts of the
+/// body; the whole body may take up to [`REPLY_BODY_TIMEOUT`].
 pub async fn fetch(
     local: Ipv4Addr,
     remote: SocketAddr,
     path: &str,
-    silence: Duration,
-) -> Result<Reply, Fault> {
+    idle_timeout: Duration,
+) -> Result<Reply, NetworkError> {
     let request = Request::get(path)
         .body(Full::default())
-        .map_err(|error| Fault::new("make request", remote, error))?;
-    let mut client = Client::connect(local, remote, silence).await?;
-    let bounds = Bounds { head: silence, silence, body: LONGEST_REPLY };
-    client.send_within(request, bounds, || {}).await
+        .map_err(|error| NetworkError::new("build request", remote, error))?;
+    let mut client = Client::connect(local, remote, idle_timeout).await?;
+    let timeouts =
+        ReplyTimeouts { head: idle_timeout, idle: idle_timeout, body: REPLY_BODY_TIMEOUT };
+    client.send_with_timeouts(request, timeouts, || {}).await
 }
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opening sockets, with errors that name the step and the peer.
+//! TCP connections and listeners, with errors that name the failed operation and the peer.
 
 use std::fmt;
 use std::io;
@@ -9,34 +9,34 @@
 use snafu::Snafu;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// An error of the network.
+/// A network error.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} {peer}: {cause}"))]
-pub struct Fault {
-    /// What was being done.
+pub struct NetworkError {
+    /// The operation that failed.
     pub step: Step,
-    /// With whom.
+    /// The remote peer.
     pub peer: Peer,
-    /// What went wrong.
+    /// The cause of the error.
     pub cause: String,
-    /// Whether the peer's machine said that nobody listens there.
+    /// Whether the peer's host refused the connection because no process listens on the port.
     pub refused: bool,
 }
 
-impl Fault {
-    /// Describes an error.
+impl NetworkError {
+    /// Creates an error that is not a refused connection.
     pub fn new(step: &'static str, peer: impl Into<Peer>, cause: impl fmt::Display) -> Self {
         Self { step: Step(step), peer: peer.into(), cause: cause.to_string(), refused: false }
     }
 }
 
-/// Dials from the instance's own address within a timeout.
+/// Opens a connection with the source address `local`, which is the instance's own.
 pub async fn dial(
     local: Ipv4Addr,
     remote: SocketAddr,
     timeout: Duration,
-) -> Result<TcpStream, Fault> {
-    let fault = |cause: &dyn fmt::Display| Fault::new("dial", remote, cause);
+) -> Result<TcpStream, NetworkError> {
+    let fault = |cause: &dyn fmt::Display| NetworkError::new("dial", remote, cause);
     let socket = TcpSocket::new_v4().map_err(|error| fault(&error))?;
     socket.bind(SocketAddr::from((local, 0))).map_err(|error| fault(&error))?;
     let stream = tokio::time::timeout(timeout, socket.connect(remote))
@@ -44,13 +44,13 @@
         .map_err(|elapsed| fault(&elapsed))?
         .map_err(|error| {
             let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-            Fault { refused, ..fault(&error) }
+            NetworkError { refused, ..fault(&error) }
         })?;
     stream.set_nodelay(true).map_err(|error| fault(&error))?;
     Ok(stream)
 }
 
-/// Listens at an address.
-pub async fn listen(address: SocketAddr) -> Result<TcpListener, Fault> {
-    TcpListener::bind(address).await.map_err(|error| Fault::new("listen", address, error))
+/// Opens a listener on an address.
+pub async fn listen(address: SocketAddr) -> Result<TcpListener, NetworkError> {
+    TcpListener::bind(address).await.map_err(|error| NetworkError::new("listen", address, error))
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use bergamot_base::{Awake, Incarnation, Name, Seed, Tasks};
-use bergamot_config::{Document, Floor, Settings, Verdict};
+use bergamot_base::{Incarnation, Name, PauseGate, Seed, TaskSupervisor};
+use bergamot_config::{Document, RevisionStatus, RevisionTracker, Settings};
 use bergamot_members::{
     Digest, Endpoint, Homes, Membership, Outgoing, Record, Role, Rumour, State, Suspicions, Timing,
     View,
 };
-use bergamot_net::{Fault, listen};
+use bergamot_net::{NetworkError, listen};
 use bergamot_quarantine::Quarantine;
 use prometheus::Registry;
 use rand::RngExt;
@@ -60,7 +60,7 @@
     pub(crate) membership: Membership,
     /// Reports between members of requests under which searchers crash.
     pub(crate) suspicions: Suspicions,
-    pub(crate) floor: Floor,
+    pub(crate) floor: RevisionTracker,
     pub(crate) rng: StdRng,
     /// The hashes of the document and the placement for which the homes were computed.
     homes_key: (u64, u64),
@@ -81,14 +81,14 @@
     /// The searchers that the last instance list marks as leaving.
     pub(crate) listed_leaving: Mutex<HashSet<SocketAddr>>,
     leaving_handler: OnceLock<LeavingHandler>,
-    pub(crate) awake: Awake,
+    pub(crate) awake: PauseGate,
     pub(crate) socket: UdpSocket,
     /// The hashes of document texts that were refused.
     pub(crate) refused_hashes: Mutex<HashSet<u64>>,
     /// Held during a pull of a later revision.
     pub(crate) pull_lock: tokio::sync::Mutex<()>,
     pub(crate) stop: CancellationToken,
-    tasks: Tasks,
+    tasks: TaskSupervisor,
     metrics: Metrics,
     registry: Registry,
     dumps: Mutex<Vec<(&'static str, Dump)>>,
@@ -104,12 +104,13 @@
     /// Binds the control and admin sockets and starts the control loops.
     ///
     /// The node has no document yet; see [`Node::join`].
-    pub async fn start(settings: Arc<Settings>, role: Role) -> Result<Arc<Self>, Fault> {
+    pub async fn start(settings: Arc<Settings>, role: Role) -> Result<Arc<Self>, NetworkError> {
         let endpoint = Endpoint { ip: settings.instance.address, role };
         let incarnation = new_incarnation();
         let address = control_address(&settings, endpoint);
-        let socket =
-            UdpSocket::bind(address).await.map_err(|e| Fault::new("bind control", address, e))?;
+        let socket = UdpSocket::bind(address)
+            .await
+            .map_err(|e| NetworkError::new("bind control", address, e))?;
         let stream_listener = listen(address).await?;
         let admin_listener = listen(admin_address(&settings, endpoint)).await?;
         let (registry, stop) = (Registry::new(), CancellationToken::new());
@@ -125,11 +126,11 @@
             leaving: Mutex::default(),
             listed_leaving: Mutex::default(),
             leaving_handler: OnceLock::new(),
-            awake: Awake::new(settings.control.pause),
+            awake: PauseGate::new(settings.control.pause),
             socket,
             refused_hashes: Mutex::default(),
             pull_lock: tokio::sync::Mutex::default(),
-            tasks: Tasks::new(stop.clone()),
+            tasks: TaskSupervisor::new(stop.clone()),
             stop,
             metrics: Metrics::new(&registry),
             registry,
@@ -168,7 +169,7 @@
     }
 
     /// Returns the essential tasks of the daemon.
-    pub fn tasks(&self) -> &Tasks {
+    pub fn tasks(&self) -> &TaskSupervisor {
         &self.tasks
     }
 
@@ -291,12 +292,12 @@
 
     /// Returns whether new work may start now.
     pub fn is_awake(&self) -> bool {
-        self.awake.is_awake(Instant::now())
+        self.awake.is_open(Instant::now())
     }
 
     /// Waits for a short time until new work may start, and returns whether it may.
     pub async fn wait_until_awake(&self) -> bool {
-        self.awake.wait().await
+        self.awake.wait_open().await
     }
 
     /// Catches up with a sender that has a higher revision, within `bound`. Returns whether that
@@ -340,7 +341,7 @@
         }
         {
             let control = self.lock();
-            let clashes = control.floor.clashes();
+            let clashes = control.floor.conflicts();
             let _ = write!(text, "clashes {clashes}\n\n[members]\n{}", control.membership.view());
         }
         let _ = write!(text, "\n[homes]\n{}", self.homes());
@@ -351,12 +352,12 @@
     }
 
     /// Puts a valid document in force if it is newer, and announces it to peers.
-    pub(crate) fn apply_document(&self, document: Document) -> Verdict {
+    pub(crate) fn apply_document(&self, document: Document) -> RevisionStatus {
         let (revision, hash) = (document.revision, document.hash);
         let mut control = self.lock();
         let verdict = control.floor.adopt(revision, hash);
         match verdict {
-            Verdict::Newer => {
+            RevisionStatus::Newer => {
                 self.active_document.store(Some(Arc::new(ActiveDocument { document })));
                 self.metrics.revision.set(revision as i64);
                 control.homes_key = (0, 0);
@@ -367,14 +368,14 @@
                 self.transmit(out);
                 log::info!("config: Revision {revision} is in force.");
             }
-            Verdict::Clash => {
-                self.metrics.clashes.set(control.floor.clashes() as i64);
+            RevisionStatus::Conflict => {
+                self.metrics.clashes.set(control.floor.conflicts() as i64);
                 drop(control);
                 log::error!(
                     "config: Revision {revision} came with other content; keeping the one in force."
                 );
             }
-            Verdict::Same | Verdict::Older => {}
+            RevisionStatus::Same | RevisionStatus::Older => {}
         }
         verdict
     }
@@ -443,7 +444,7 @@
         Self {
             membership: Membership::new(now, timing, own, seeds, seed.generator("membership")),
             suspicions: Suspicions::new(Arc::clone(quarantine)),
-            floor: Floor::default(),
+            floor: RevisionTracker::default(),
             rng: seed.generator("node"),
             homes_key: (0, 0),
         }
--- a/crates/node/src/pulls.rs
+++ b/crates/node/src/pulls.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bergamot_config::{Document, Parcel, Refusal, Verdict};
+use bergamot_config::{Document, DocumentTransfer, RevisionStatus, ValidationError};
 use bergamot_members::{Datagram, Digest, Endpoint};
-use bergamot_net::Fault;
+use bergamot_net::NetworkError;
 use bergamot_wire::{PullRequest, PullResponse, pull, serve_pulls};
 use rand::RngExt;
 use tokio::net::TcpListener;
@@ -35,7 +35,7 @@
     let parcel = node
         .active_document()
         .filter(|current| current.document.revision > request.revision)
-        .map(|current| Parcel::of(&current.document).without(&request.held));
+        .map(|current| DocumentTransfer::new(&current.document).omit(&request.held));
     let Some(theirs) = &request.view else {
         return PullResponse { parcel, ..PullResponse::default() };
     };
@@ -106,14 +106,18 @@
     node.metrics().pulls.with_label_values(&[result]).inc();
 }
 
-async fn try_exchange(node: &Arc<Node>, peer: SocketAddr, with_view: bool) -> Result<(), Fault> {
+async fn try_exchange(
+    node: &Arc<Node>,
+    peer: SocketAddr,
+    with_view: bool,
+) -> Result<(), NetworkError> {
     let current = node.active_document();
     let view = with_view.then(|| node.with_view(|view| view.iter().cloned().collect()));
     let request = PullRequest {
         revision: current.as_ref().map_or(0, |current| current.document.revision),
         held: current
             .as_ref()
-            .map_or_else(Vec::new, |current| Parcel::of(&current.document).hashes()),
+            .map_or_else(Vec::new, |current| DocumentTransfer::new(&current.document).hashes()),
         view,
     };
     let local = node.settings().instance.address;
@@ -136,11 +140,15 @@
 
 /// Puts a document in force if it is valid and newer than the present one. An invalid document is
 /// refused as a whole.
-pub(crate) fn handle_document(node: &Node, parsed: Result<Document, Refusal>, from: SocketAddr) {
+pub(crate) fn handle_document(
+    node: &Node,
+    parsed: Result<Document, ValidationError>,
+    from: SocketAddr,
+) {
     match parsed {
         Ok(document) => {
             let revision = document.revision;
-            if node.apply_document(document) == Verdict::Older {
+            if node.apply_document(document) == RevisionStatus::Older {
                 log::debug!(
                     "config: Ignored revision {revision} from {from}; a later one is in force."
                 );
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use bergamot_base::{Name, Revision};
-use bergamot_config::Parcel;
+use bergamot_config::DocumentTransfer;
 use bergamot_members::Record;
-use bergamot_net::{Fault, LONGEST_REPLY, dial};
+use bergamot_net::{NetworkError, REPLY_BODY_TIMEOUT, dial};
 use futures::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -46,7 +46,7 @@
 pub struct PullResponse {
     /// The active document, if it is newer than the client's.
     #[serde(rename = "p")]
-    pub parcel: Option<Parcel>,
+    pub parcel: Option<DocumentTransfer>,
     /// The complete view, if it was requested.
     #[serde(rename = "v")]
     pub view: Vec<Record>,
@@ -66,22 +66,22 @@
     peer: SocketAddr,
     request: &PullRequest,
     read_timeout: Duration,
-) -> Result<(PullResponse, usize), Fault> {
+) -> Result<(PullResponse, usize), NetworkError> {
     let exchange = async {
         let stream = with_read_timeout(dial(local, peer, read_timeout).await?, read_timeout);
         let address = format!("ws://{peer}/");
         let (mut socket, _) = client_async(address, stream)
             .await
-            .map_err(|error| Fault::new("open control stream", peer, error))?;
+            .map_err(|error| NetworkError::new("open control stream", peer, error))?;
         send(&mut socket, request, peer).await?;
         let answer = receive(&mut socket, peer).await?;
         // The response is complete even if the close frame does not reach the peer.
         let _ = socket.close(None).await;
         Ok(answer)
     };
-    tokio::time::timeout(LONGEST_REPLY, exchange)
+    tokio::time::timeout(REPLY_BODY_TIMEOUT, exchange)
         .await
-        .map_err(|elapsed| Fault::new("pull", peer, elapsed))?
+        .map_err(|elapsed| NetworkError::new("pull", peer, elapsed))?
 }
 
 fn with_read_timeout(stream: TcpStream, read_timeout: Duration) -> TimedStream {
@@ -106,7 +106,7 @@
         let answer = answer.clone();
         tokio::spawn(async move {
             let exchange = serve_one(with_read_timeout(stream, SERVER_READ_TIMEOUT), peer, answer);
-            match tokio::time::timeout(SERVER_READ_TIMEOUT + LONGEST_REPLY, exchange).await {
+            match tokio::time::timeout(SERVER_READ_TIMEOUT + REPLY_BODY_TIMEOUT, exchange).await {
                 Ok(Ok(())) => {}
                 Ok(Err(fault)) => log::debug!("wire: Serving a pull failed: {fault}."),
                 Err(elapsed) => log::debug!("wire: Serving a pull by {peer} failed: {elapsed}."),
@@ -119,10 +119,10 @@
     stream: TimedStream,
     peer: SocketAddr,
     answer: impl Fn(PullRequest) -> PullResponse,
-) -> Result<(), Fault> {
+) -> Result<(), NetworkError> {
     let mut socket = accept_async(stream)
         .await
-        .map_err(|error| Fault::new("accept control stream", peer, error))?;
+        .map_err(|error| NetworkError::new("accept control stream", peer, error))?;
     let (request, _) = receive(&mut socket, peer).await?;
     send(&mut socket, &answer(request), peer).await?;
     while let Some(Ok(_)) = socket.next().await {}
@@ -133,27 +133,27 @@
     socket: &mut WebSocketStream<TimedStream>,
     message: &T,
     peer: SocketAddr,
-) -> Result<(), Fault> {
+) -> Result<(), NetworkError> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes)
-        .map_err(|error| Fault::new("encode control message", peer, error))?;
+        .map_err(|error| NetworkError::new("encode control message", peer, error))?;
     socket
         .send(Message::binary(bytes))
         .await
-        .map_err(|error| Fault::new("send control message", peer, error))
+        .map_err(|error| NetworkError::new("send control message", peer, error))
 }
 
 async fn receive<T: DeserializeOwned>(
     socket: &mut WebSocketStream<TimedStream>,
     peer: SocketAddr,
-) -> Result<(T, usize), Fault> {
+) -> Result<(T, usize), NetworkError> {
     let message = socket
         .next()
         .await
         .unwrap_or(Err(Error::ConnectionClosed))
-        .map_err(|error| Fault::new("receive control message", peer, error))?;
+        .map_err(|error| NetworkError::new("receive control message", peer, error))?;
     let bytes = message.into_data();
     let value = ciborium::from_reader(&*bytes)
-        .map_err(|error| Fault::new("decode control message", peer, error))?;
+        .map_err(|error| NetworkError::new("decode control message", peer, error))?;
     Ok((value, bytes.len()))
 }
