--- a/crates/standin/src/terms.rs
+++ b/crates/standin/src/behaviour.rs
@@ -1,4 +1,4 @@
-//! Where a searcher is, what it can bear, how it fails and what it did.
+//! The location, capacity, injected faults and recorded effects of a searcher.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -8,21 +8,21 @@
 use bergamot_query::Shape;
 use serde::{Deserialize, Serialize};
 
-/// Where instances and searchers are, for the latency between them.
+/// The locations of instances and zones, from which the latency between them follows.
 #[derive(Clone, Debug, Default)]
 pub struct Geography {
     /// The zone of each instance.
     pub zones: HashMap<Ipv4Addr, Name>,
     /// The region of each zone.
     pub regions: HashMap<Name, Name>,
-    /// One way between zones of one region.
+    /// The one-way latency between zones of a region.
     pub between_zones: Duration,
-    /// One way between regions.
+    /// The one-way latency between regions.
     pub between_regions: Duration,
 }
 
 impl Geography {
-    /// Returns the latency one way from an instance to a zone.
+    /// Returns the one-way latency from an instance to a zone, zero for an unknown instance.
     pub(crate) fn one_way(&self, from: IpAddr, to: &Name) -> Duration {
         let IpAddr::V4(from) = from else {
             return Duration::ZERO;
@@ -40,16 +40,16 @@
     }
 }
 
-/// What a searcher can bear.
+/// The capacity of a searcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How many requests it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: usize,
-    /// How many connections it accepts.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// What a new connection costs.
+    /// The time to set up a connection.
     pub connect_cost: Duration,
-    /// The mean time of an ordinary request.
+    /// The mean time to process a request without injected faults.
     pub service_time: Duration,
 }
 
@@ -64,41 +64,41 @@
     }
 }
 
-/// How a searcher fails, changed while it runs.
+/// The faults that a searcher injects. They can be changed while it runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// The part of requests that straggle.
+    /// The fraction of requests that are stragglers.
     pub straggle: f64,
-    /// By how much a straggler takes longer.
+    /// The factor on the service time of stragglers.
     pub straggle_factor: f64,
-    /// By how much every request takes longer.
+    /// The factor on the service time of all requests.
     pub slow_factor: f64,
-    /// The part of requests that are shed.
+    /// The fraction of requests that are shed.
     pub shed: f64,
-    /// Whether the searcher says that it is leaving.
+    /// Whether the searcher announces that it is leaving.
     pub leaving: bool,
-    /// Whether new work is refused because the searcher is leaving.
+    /// Whether the searcher announces that it is leaving and rejects new requests.
     pub gone: bool,
-    /// Whether answers name and hold another version than they say was asked.
+    /// Whether responses contain another version than was requested.
     pub wrong_version: bool,
-    /// The part of replies that are cut after half of the body.
+    /// The fraction of searches whose connection is closed without a response.
     pub cut: f64,
-    /// The part of writes that take effect and are then cut before the reply.
+    /// The fraction of writes that take effect but whose connection is closed without a response.
     pub cut_writes: f64,
-    /// The versions that the status claims, where it lies.
+    /// The versions that the status reports instead of those held.
     pub claimed: Option<Vec<Version>>,
-    /// The query that ends the searcher.
+    /// The query on which the searcher crashes.
     pub fatal: Option<Shape>,
 }
 
-/// What a searcher did, for histories.
+/// An effect of a request on a searcher, recorded for checks of the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "effect", rename_all = "snake_case")]
 pub enum Effect {
-    /// A sub-query was worked on.
+    /// A sub-query was processed.
     Search {
-        /// The name of the attempt.
+        /// The identifier of the attempt.
         request: Name,
     },
     /// A write took effect.
@@ -107,7 +107,7 @@
         key: Name,
         /// The record.
         record: Name,
-        /// The entry.
+        /// The body of the write.
         body: Name,
     },
 }
--- a/crates/standin/src/corpus.rs
+++ b/crates/standin/src/corpus.rs
@@ -1,7 +1,7 @@
-//! The documents that a searcher holds, made from their names alone.
+//! Synthetic documents of a searcher, generated deterministically from their keys.
 //!
-//! Every process makes the same documents for a service, a version and an epoch, and
-//! each body names them, so that a caller can tell a mix from one snapshot.
+//! Every process generates the same documents for a service, a version and an epoch. Each body
+//! contains the version and the epoch, so that a test can detect results that mix snapshots.
 
 use bergamot_base::{Epoch, Name, Version, hash_bytes, hash_pair};
 use bergamot_query::{Hit, Shape};
@@ -15,7 +15,7 @@
     pub shards: usize,
     /// The epoch of the partition map.
     pub epoch: Epoch,
-    /// The number of documents of the whole service.
+    /// The number of documents in all shards of the service.
     pub documents: usize,
 }
 
@@ -25,23 +25,23 @@
         Name::from(format!("doc-{number}"))
     }
 
-    /// Returns the keys that the shard holds.
+    /// Returns the keys of the documents in the shard.
     fn keys(&self) -> impl Iterator<Item = Name> + '_ {
-        (0..self.documents).map(Self::key).filter(|key| self.holds(key))
+        (0..self.documents).map(Self::key).filter(|key| self.contains(key))
     }
 
-    fn holds(&self, key: &str) -> bool {
+    fn contains(&self, key: &str) -> bool {
         hash_bytes(key.as_bytes()) % self.shards as u64 == self.position as u64
     }
 
-    /// Makes the document of a key at a version.
+    /// Generates the document with a key at a version.
     pub fn hit(&self, key: &Name, version: Version) -> Hit {
         let rank = hash_pair(hash_bytes(key.as_bytes()), version) >> 32;
         let body = Name::from(format!("{key}@v{version}e{}", self.epoch));
         Hit { key: Name::clone(key), rank, body }
     }
 
-    /// Searches the shard and returns its size and the hits.
+    /// Searches the shard; returns the number of its documents and the hits.
     pub fn search(&self, shape: &Shape, version: Version) -> (u64, Vec<Hit>) {
         let mut hits: Vec<Hit> = match shape {
             Shape::Record { key } => {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,20 +1,20 @@
-//! Stand-ins for searchers, the configuration service and the instance list.
+//! Test doubles ("stand-ins") for searchers, the configuration service and the instance list.
 //!
-//! They speak the platform's published protocols and fail on request: stragglers, cold
-//! starts, sheds, drains, lying status, refused connections, a service that is down or
-//! stale, a list that lags. They are small, are not shipped to users, and record each
-//! effect so that histories can be checked. See `docs/RUNNING.md`.
+//! They implement the platform's published protocols and can inject faults: stragglers, cold
+//! starts, load shedding, draining, false status reports, refused connections, an unavailable
+//! service, stale documents and an outdated instance list. They are not shipped to users. Each
+//! effect is recorded, so that tests can check the history of a run. See `docs/RUNNING.md`.
 
-mod border;
+mod behaviour;
 mod corpus;
+mod partition_proxy;
 mod platform;
 mod script;
 mod searcher;
-mod terms;
 
-pub use border::{Border, Way};
+pub use behaviour::{Effect, Faults, Geography, Limits};
 pub use corpus::Corpus;
+pub use partition_proxy::{Border, Way};
 pub use platform::{Counts, Instance, Platform};
 pub use script::{Script, Seen, Step};
 pub use searcher::{Searcher, SearcherSettings};
-pub use terms::{Effect, Faults, Geography, Limits};
--- a/crates/standin/src/border.rs
+++ b/crates/standin/src/partition_proxy.rs
@@ -1,9 +1,10 @@
-//! The border between two parts of a fleet, which can be cut.
+//! A TCP and UDP proxy between two parts of a fleet that simulates network partitions.
 //!
-//! The two parts use two sets of ports. What one part dials with its own ports lands at
-//! a proxy of the border, which passes it on to the other part's ports; nothing else
-//! connects the parts. While the border is cut, connections stall without an error, new
-//! ones are accepted and go nowhere, and datagrams are dropped: as when a link is lost.
+//! The two parts use different ports. Each part connects to the other through the proxy, which
+//! listens on the ports that the one part dials and forwards to those on which the other part
+//! listens; there is no other connection between them. During a partition, established
+//! connections stall without an error, new ones are accepted but not forwarded until it ends, and
+//! datagrams are dropped, as when a link fails.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -14,26 +15,26 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// The largest datagram that is passed on.
-const DATAGRAM: usize = 2048;
+/// The size of the largest datagram that is forwarded.
+const MAX_DATAGRAM_LEN: usize = 2048;
 
-/// The size of the buffer of one direction of a connection.
-const BUFFER: usize = 16 * 1024;
+/// The buffer size for one direction of a connection.
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// A way through the border: what is dialled and what listens.
+/// One forwarded port of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Way {
-    /// The instance behind the border.
+    /// The address of the instance.
     pub ip: Ipv4Addr,
-    /// The port that the other part dials.
+    /// The port on which the proxy listens.
     pub dialled: u16,
-    /// The port on which the instance listens.
+    /// The port of the instance, to which the proxy forwards.
     pub listens: u16,
-    /// Whether datagrams pass too.
+    /// Whether UDP is forwarded in addition to TCP.
     pub datagrams: bool,
 }
 
-/// The border between two parts of a fleet, until dropped.
+/// A proxy between two parts of a fleet. Stops when dropped.
 #[derive(Debug)]
 pub struct Border {
     cut: watch::Sender<bool>,
@@ -41,7 +42,7 @@
 }
 
 impl Border {
-    /// Opens the ways.
+    /// Starts forwarding all the given ports.
     pub async fn open(ways: &[Way]) -> Result<Self, Fault> {
         let border = Self { cut: watch::Sender::new(false), stop: CancellationToken::new() };
         for way in ways {
@@ -52,18 +53,18 @@
             tokio::spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    () = pass_connections(listener, to, cut) => {}
+                    () = forward_connections(listener, to, cut) => {}
                 }
             });
             if way.datagrams {
                 let socket = UdpSocket::bind(from)
                     .await
-                    .map_err(|error| Fault::new("bind border", from, error))?;
+                    .map_err(|error| Fault::new("bind partition proxy", from, error))?;
                 let (cut, stop) = (border.cut.subscribe(), border.stop.clone());
                 tokio::spawn(async move {
                     tokio::select! {
                         () = stop.cancelled() => {}
-                        () = pass_datagrams(socket, to, cut) => {}
+                        () = forward_datagrams(socket, to, cut) => {}
                     }
                 });
             }
@@ -71,7 +72,7 @@
         Ok(border)
     }
 
-    /// Cuts the border, or heals it.
+    /// Starts or ends a partition.
     pub fn set_cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
@@ -83,45 +84,45 @@
     }
 }
 
-async fn pass_datagrams(socket: UdpSocket, to: SocketAddr, cut: watch::Receiver<bool>) {
-    let mut buffer = vec![0; DATAGRAM];
+async fn forward_datagrams(socket: UdpSocket, to: SocketAddr, cut: watch::Receiver<bool>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_LEN];
     while let Ok((length, _)) = socket.recv_from(&mut buffer).await {
         if !*cut.borrow() {
-            // A datagram may be lost on any network.
+            // UDP delivery is not guaranteed, so an error here counts as a lost datagram.
             let _ = socket.send_to(&buffer[..length], to).await;
         }
     }
 }
 
-async fn pass_connections(listener: TcpListener, to: SocketAddr, cut: watch::Receiver<bool>) {
-    while let Ok((near, _)) = listener.accept().await {
+async fn forward_connections(listener: TcpListener, to: SocketAddr, cut: watch::Receiver<bool>) {
+    while let Ok((client, _)) = listener.accept().await {
         let mut cut = cut.clone();
         tokio::spawn(async move {
             if cut.wait_for(|cut| !cut).await.is_err() {
                 return;
             }
-            let Ok(far) = TcpStream::connect(to).await else { return };
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
+            let Ok(server) = TcpStream::connect(to).await else { return };
+            let (client_read, client_write) = client.into_split();
+            let (server_read, server_write) = server.into_split();
             tokio::join!(
-                pass(near_read, far_write, cut.clone()),
-                pass(far_read, near_write, cut.clone()),
+                forward(client_read, server_write, cut.clone()),
+                forward(server_read, client_write, cut.clone()),
             );
         });
     }
 }
 
-/// Passes one direction on until it ends; stalls while the border is cut.
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut cut: watch::Receiver<bool>) {
-    let mut buffer = vec![0; BUFFER];
+/// Forwards one direction of a connection until it ends; stalls during a partition.
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut cut: watch::Receiver<bool>) {
+    let mut buffer = vec![0; BUFFER_SIZE];
     loop {
         let Ok(length) = from.read(&mut buffer).await else { return };
-        // The sender is gone only when the border is.
+        // The sender of the watch is dropped only together with the proxy.
         if cut.wait_for(|cut| !cut).await.is_err() {
             return;
         }
         if length == 0 {
-            // The other side may be closed already.
+            // The peer may have closed the connection already.
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the configuration service and the instance list.
+//! The platform services: the configuration service and the instance list.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,13 +13,13 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// The largest document, as the platform holds values of up to a megabyte.
-const LARGEST: usize = 1 << 20;
+/// The maximum size of a document. The platform stores values of up to a megabyte.
+const MAX_DOCUMENT_LEN: usize = 1 << 20;
 
 /// An entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// An IP number for an instance, with a port for a searcher.
+    /// The IP address; for a searcher, with the port.
     pub address: Name,
     /// The availability zone.
     pub zone: Name,
@@ -27,10 +27,10 @@
     pub state: Name,
 }
 
-/// How often the platform was called.
+/// Request counts of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Reads of the document, a waiting watch counted as one.
+    /// Reads of the document. A long poll for changes counts as one.
     pub document: u64,
     /// Reads of the instance list.
     pub instances: u64,
@@ -53,7 +53,7 @@
     instance_reads: AtomicU64,
 }
 
-/// The platform's two services, until dropped.
+/// The running platform services. They stop when dropped.
 #[derive(Debug)]
 pub struct Platform {
     inner: Arc<Inner>,
@@ -83,7 +83,7 @@
         Ok(Self { inner, stop })
     }
 
-    /// Publishes a document as operators do; the service itself checks nothing.
+    /// Publishes a document as an operator does. The service does not validate it.
     pub fn publish(&self, text: &str) {
         self.inner.publish(text);
     }
@@ -93,23 +93,24 @@
         *lock(&self.inner.instances) = instances;
     }
 
-    /// Makes both services answer 503, or answer again.
+    /// Makes both services respond with 503, or ends that.
     pub fn set_down(&self, down: bool) {
         self.inner.down.store(down, Ordering::Relaxed);
         self.set_configuration_down(down);
     }
 
-    /// Makes only the configuration service answer 503, or answer again.
+    /// Makes only the configuration service respond with 503, or ends that.
     pub fn set_configuration_down(&self, down: bool) {
         self.inner.configuration_down.store(down, Ordering::Relaxed);
     }
 
-    /// Makes the service answer with an older document, or with the published one again.
+    /// Makes the configuration service return this stale document, or with `None` the published
+    /// one again.
     pub fn set_stale(&self, text: Option<&str>) {
-        *lock(&self.inner.stale) = text.map(published);
+        *lock(&self.inner.stale) = text.map(parse_published);
     }
 
-    /// Returns how often the platform was called.
+    /// Returns the request counts.
     pub fn counts(&self) -> Counts {
         Counts {
             document: self.inner.document_reads.load(Ordering::Relaxed),
@@ -132,8 +133,8 @@
             _ => self.configuration_down.load(Ordering::Relaxed),
         };
         match (request.method(), path.as_str()) {
-            (&Method::POST, "/publish") => self.take_document(request).await,
-            (&Method::POST, "/instances") => self.take_instances(request).await,
+            (&Method::POST, "/publish") => self.handle_publish(request).await,
+            (&Method::POST, "/instances") => self.handle_set_instances(request).await,
             (&Method::GET, "/counts") => {
                 let counts = Counts {
                     document: self.document_reads.load(Ordering::Relaxed),
@@ -173,13 +174,13 @@
 
     async fn watch(&self, query: Option<&str>) -> Response<Body> {
         self.document_reads.fetch_add(1, Ordering::Relaxed);
-        let number = |name: &str| {
+        let parameter = |name: &str| {
             let pairs =
                 query.unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
             pairs.into_iter().find(|(key, _)| *key == name).and_then(|(_, n)| n.parse().ok())
         };
-        let after: u64 = number("after").unwrap_or(0);
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(1000));
+        let after: u64 = parameter("after").unwrap_or(0);
+        let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(1000));
         if let Some(stale) = lock(&self.stale).clone()
             && stale.revision > after
         {
@@ -193,8 +194,11 @@
         }
     }
 
-    async fn take_document(&self, request: Request<Incoming>) -> Response<Body> {
-        match read_body(request, LARGEST).await.map(|body| String::from_utf8(body.to_vec())) {
+    async fn handle_publish(&self, request: Request<Incoming>) -> Response<Body> {
+        match read_body(request, MAX_DOCUMENT_LEN)
+            .await
+            .map(|body| String::from_utf8(body.to_vec()))
+        {
             Ok(Ok(document)) => {
                 self.publish(&document);
                 text(StatusCode::OK, "published")
@@ -203,8 +207,8 @@
         }
     }
 
-    async fn take_instances(&self, request: Request<Incoming>) -> Response<Body> {
-        let body = read_body(request, LARGEST).await.unwrap_or_default();
+    async fn handle_set_instances(&self, request: Request<Incoming>) -> Response<Body> {
+        let body = read_body(request, MAX_DOCUMENT_LEN).await.unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(instances) => {
                 *lock(&self.instances) = instances;
@@ -215,12 +219,13 @@
     }
 
     fn publish(&self, text: &str) {
-        self.document.send_replace(published(text));
+        self.document.send_replace(parse_published(text));
     }
 }
 
-/// Reads the revision loosely: the service publishes whatever operators give it.
-fn published(text: &str) -> Published {
+/// Parses the revision of a document. A document without a readable revision gets the highest one,
+/// because the service publishes whatever operators provide.
+fn parse_published(text: &str) -> Published {
     let value: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
     let revision = value.get("revision").and_then(serde_json::Value::as_u64).unwrap_or(u64::MAX);
     Published { text: Name::from(text), revision }
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -1,7 +1,8 @@
-//! A server of raw bytes whose every answer is scripted by a test.
+//! A TCP server that sends raw bytes as a test scripts them.
 //!
-//! Real servers misbehave below HTTP: they cut bodies, answer twice, or fall silent. A script
-//! decides step by step what goes onto the connection, and remembers what came.
+//! It reproduces faults below the level of HTTP, such as truncated bodies, duplicate responses
+//! and stalled connections. A script decides step by step what is sent on the connection; the
+//! requests are recorded.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// One step of an answer.
+/// One step of a response.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Waits.
@@ -25,18 +26,18 @@
     Close,
     /// Resets the connection.
     Reset,
-    /// Answers nothing more, but keeps the connection until the other side closes it.
+    /// Sends nothing more, but keeps the connection open until the peer closes it.
     Hang,
-    /// Ends the server with all of its connections, as a crash of its process would.
+    /// Stops the server and closes all its connections, as a crash of its process does.
     End,
 }
 
-/// A request as it came.
+/// A recorded request.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// The number of its connection, from zero.
+    /// The index of its connection.
     pub connection: usize,
-    /// The number of the request on its connection, from zero.
+    /// The index of the request on its connection.
     pub turn: usize,
     /// The request line and the headers.
     pub head: String,
@@ -45,7 +46,7 @@
 }
 
 impl Seen {
-    /// Returns the value of a header, by its name in lower case.
+    /// Returns the value of a header. The name is compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|line| line.split_once(':'));
         let mut found = lines.filter(|(key, _)| key.eq_ignore_ascii_case(name));
@@ -53,15 +54,15 @@
     }
 }
 
-type Play = dyn Fn(&Seen) -> Vec<Step> + Send + Sync;
+type Handler = dyn Fn(&Seen) -> Vec<Step> + Send + Sync;
 
-/// A scripted server that runs until it is dropped.
+/// A running scripted server. Stops when dropped.
 pub struct Script {
     address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
-    gone: Arc<Mutex<usize>>,
+    closed_connections: Arc<Mutex<usize>>,
     stop: CancellationToken,
-    /// Cancelled once nothing listens any more, which ends the connections.
+    /// Cancelled after the listener is closed, to close the connections.
     closed: CancellationToken,
 }
 
@@ -72,19 +73,20 @@
 }
 
 impl Script {
-    /// Starts a server at a free port of loopback.
+    /// Starts a server on a free loopback port. `handler` returns the steps for each request.
     pub async fn start(
-        play: impl Fn(&Seen) -> Vec<Step> + Send + Sync + 'static,
+        handler: impl Fn(&Seen) -> Vec<Step> + Send + Sync + 'static,
     ) -> Result<Self, Fault> {
         let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
         let address =
             listener.local_addr().map_err(|error| Fault::new("listen", unknown, error))?;
-        let (seen, gone) = (Arc::default(), Arc::default());
+        let (seen, closed_connections) = (Arc::default(), Arc::default());
         let (stop, closed) = (CancellationToken::new(), CancellationToken::new());
-        let script = Self { address, seen, gone, stop, closed };
-        let play: Arc<Play> = Arc::new(play);
-        let (seen, gone) = (Arc::clone(&script.seen), Arc::clone(&script.gone));
+        let script = Self { address, seen, closed_connections, stop, closed };
+        let handler: Arc<Handler> = Arc::new(handler);
+        let (seen, closed_count) =
+            (Arc::clone(&script.seen), Arc::clone(&script.closed_connections));
         let (stop, closed) = (script.stop.clone(), script.closed.clone());
         tokio::spawn(async move {
             let mut connection = 0;
@@ -99,15 +101,16 @@
                     accepted = listener.accept() => accepted,
                 };
                 let Ok((stream, _)) = accepted else { continue };
-                let (play, seen, gone) = (Arc::clone(&play), Arc::clone(&seen), Arc::clone(&gone));
+                let (handler, seen, closed_count) =
+                    (Arc::clone(&handler), Arc::clone(&seen), Arc::clone(&closed_count));
                 let (stop, closed) = (stop.clone(), closed.clone());
                 tokio::spawn(async move {
                     tokio::select! {
                         () = closed.cancelled() => {}
-                        // However the other side ended, the connection is over.
-                        _ = converse(stream, connection, &play, (&seen, &stop)) => {}
+                        // The connection is closed, no matter with which result.
+                        _ = serve_connection(stream, connection, &handler, (&seen, &stop)) => {}
                     }
-                    *gone.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+                    *closed_count.lock().unwrap_or_else(PoisonError::into_inner) += 1;
                 });
                 connection += 1;
             }
@@ -115,24 +118,24 @@
         Ok(script)
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the requests that came so far.
+    /// Returns the requests received so far.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Tells whether the server has ended by a step of its own.
+    /// Returns whether a step of the script has stopped the server.
     pub fn has_ended(&self) -> bool {
         self.closed.is_cancelled()
     }
 
-    /// Returns how many connections are over.
+    /// Returns how many connections have closed.
     pub fn gone(&self) -> usize {
-        *self.gone.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.closed_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -142,20 +145,20 @@
     }
 }
 
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     connection: usize,
-    play: &Arc<Play>,
+    handler: &Arc<Handler>,
     (seen, stop): (&Arc<Mutex<Vec<Seen>>>, &CancellationToken),
 ) -> io::Result<()> {
     let mut stream = BufReader::new(stream);
     for turn in 0.. {
-        let Some((head, body)) = read(&mut stream).await? else {
+        let Some((head, body)) = read_request(&mut stream).await? else {
             return Ok(());
         };
         let request = Seen { connection, turn, head, body };
         seen.lock().unwrap_or_else(PoisonError::into_inner).push(request.clone());
-        for step in play(&request) {
+        for step in handler(&request) {
             match step {
                 Step::Wait(time) => tokio::time::sleep(time).await,
                 Step::Send(bytes) => stream.get_mut().write_all(&bytes).await?,
@@ -171,7 +174,7 @@
                 }
                 Step::End => {
                     stop.cancel();
-                    // The connection ends with all others once nothing listens any more.
+                    // The connection is closed with all others after the listener.
                     std::future::pending::<()>().await;
                 }
             }
@@ -180,8 +183,9 @@
     Ok(())
 }
 
-/// Reads a request whose body has a length, or nothing at the end of the connection.
-async fn read(stream: &mut BufReader<TcpStream>) -> io::Result<Option<(String, Vec<u8>)>> {
+/// Reads a request, whose body has the length given by `content-length`. Returns `None` at the end
+/// of the connection.
+async fn read_request(stream: &mut BufReader<TcpStream>) -> io::Result<Option<(String, Vec<u8>)>> {
     let mut head = String::new();
     loop {
         let start = head.len();
--- a/crates/standin/src/searcher.rs
+++ b/crates/standin/src/searcher.rs
@@ -1,4 +1,4 @@
-//! A searcher: one shard's replica with few slots and few connections.
+//! A searcher: one replica of a shard, with a limited number of slots and connections.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -21,32 +21,32 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
+use crate::behaviour::{Effect, Faults, Geography, Limits};
 use crate::corpus::Corpus;
-use crate::terms::{Effect, Faults, Geography, Limits};
 
-/// The largest request body.
-const LARGEST_BODY: usize = 1 << 20;
+/// The maximum size of a request body.
+const MAX_BODY_LEN: usize = 1 << 20;
 
-/// The shape parameter of the tail of ordinary service times: the largest of an
-/// ordinary request is this many times the mean.
-const SPREAD: f64 = 2.0;
+/// The shape of the tail of service times: the largest one without injected faults, as a multiple
+/// of the mean.
+const MAX_SERVICE_TIME_FACTOR: f64 = 2.0;
 
 /// The settings of a searcher.
 #[derive(Clone, Debug)]
 pub struct SearcherSettings {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Name,
-    /// What it can bear.
+    /// Its capacity.
     pub limits: Limits,
     /// Its documents.
     pub corpus: Corpus,
-    /// The versions that it holds at the start.
+    /// The versions that it serves at the start.
     pub versions: Vec<Version>,
-    /// The seed of its service times and faults.
+    /// The seed for its service times and injected faults.
     pub seed: Seed,
-    /// Where instances are.
+    /// The locations of instances, for the latency to them.
     pub geography: Arc<Geography>,
 }
 
@@ -58,7 +58,7 @@
     rng: StdRng,
     running: HashMap<Name, CancellationToken>,
     effects: Vec<Effect>,
-    ledger: u64,
+    write_count: u64,
     cold_until: Option<Instant>,
     last_search: Option<Instant>,
 }
@@ -72,12 +72,12 @@
     open: AtomicUsize,
     peak: AtomicUsize,
     accepted: AtomicUsize,
-    over: AtomicUsize,
+    over_limit: AtomicUsize,
     searches: AtomicUsize,
     stop: CancellationToken,
 }
 
-/// A searcher that runs until it is dropped.
+/// A running searcher. Stops when dropped.
 #[derive(Debug)]
 pub struct Searcher(Arc<Inner>);
 
@@ -94,7 +94,7 @@
             rng: rand::SeedableRng::from_rng(&mut rng),
             running: HashMap::new(),
             effects: Vec::new(),
-            ledger: 0,
+            write_count: 0,
             cold_until: None,
             last_search: None,
         };
@@ -105,7 +105,7 @@
             open: AtomicUsize::new(0),
             peak: AtomicUsize::new(0),
             accepted: AtomicUsize::new(0),
-            over: AtomicUsize::new(0),
+            over_limit: AtomicUsize::new(0),
             searches: AtomicUsize::new(0),
             stop: CancellationToken::new(),
             settings,
@@ -114,67 +114,68 @@
         Ok(Self(inner))
     }
 
-    /// Returns where the searcher listens.
+    /// Returns the address on which the searcher listens.
     pub fn address(&self) -> SocketAddr {
         self.0.settings.address
     }
 
-    /// Returns the availability zone.
+    /// Returns the availability zone of the searcher.
     pub fn zone(&self) -> &Name {
         &self.0.settings.zone
     }
 
-    /// Changes how the searcher fails.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.0.lock().faults = faults;
     }
 
-    /// Returns how the searcher fails now.
+    /// Returns the injected faults.
     pub fn faults(&self) -> Faults {
         self.0.lock().faults.clone()
     }
 
-    /// Puts what an earlier run at this address did before what this one does.
+    /// Prepends the effects of an earlier run at this address to those of this one.
     pub fn remember(&self, before: Vec<Effect>) {
         self.0.lock().effects.splice(..0, before);
     }
 
-    /// Returns when the last sub-query arrived.
+    /// Returns when the last sub-query arrived, if any did.
     pub fn last_search(&self) -> Option<Instant> {
         self.0.lock().last_search
     }
 
-    /// Changes which versions the searcher holds.
+    /// Replaces the versions that the searcher serves.
     pub fn set_versions(&self, versions: impl IntoIterator<Item = Version>) {
         self.0.lock().versions = versions.into_iter().collect();
     }
 
-    /// Makes the searcher cold: requests take three times as long for a while.
+    /// Simulates a cold start: for the given time, requests take three times as long.
     pub fn chill(&self, time: Duration) {
         self.0.lock().cold_until = Some(Instant::now() + time);
     }
 
-    /// Adds the documents of another epoch, as repartitioning does.
+    /// Adds the documents of another epoch, as a repartitioning does.
     pub fn add_epoch(&self, corpus: Corpus) {
         self.0.lock().corpora.insert(corpus.epoch, corpus);
     }
 
-    /// Returns what the searcher did so far.
+    /// Returns the effects so far.
     pub fn effects(&self) -> Vec<Effect> {
         self.0.lock().effects.clone()
     }
 
-    /// Returns the most connections open at once, and how many came above the limit.
+    /// Returns the peak number of open connections, and how many were closed because of the
+    /// limit.
     pub fn connections(&self) -> (usize, usize) {
-        (self.0.peak.load(Ordering::Relaxed), self.0.over.load(Ordering::Relaxed))
+        (self.0.peak.load(Ordering::Relaxed), self.0.over_limit.load(Ordering::Relaxed))
     }
 
-    /// Returns how many connections were accepted.
+    /// Returns how many connections were accepted within the limit.
     pub fn accepted(&self) -> usize {
         self.0.accepted.load(Ordering::Relaxed)
     }
 
-    /// Returns how many sub-queries are queued or worked on.
+    /// Returns how many sub-queries are queued or in progress.
     pub fn running(&self) -> usize {
         self.0.lock().running.len()
     }
@@ -184,12 +185,12 @@
         self.0.searches.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the searcher has stopped.
+    /// Returns whether the searcher has stopped.
     pub fn has_ended(&self) -> bool {
         self.0.stop.is_cancelled()
     }
 
-    /// Stops at once, cutting every connection.
+    /// Stops at once and closes every connection.
     pub fn kill(&self) {
         self.0.stop.cancel();
     }
@@ -213,7 +214,7 @@
         let open = inner.open.fetch_add(1, Ordering::Relaxed) + 1;
         if open > inner.settings.limits.connections {
             inner.open.fetch_sub(1, Ordering::Relaxed);
-            inner.over.fetch_add(1, Ordering::Relaxed);
+            inner.over_limit.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         inner.peak.fetch_max(open, Ordering::Relaxed);
@@ -230,25 +231,25 @@
 }
 
 async fn connection(inner: &Arc<Inner>, stream: TcpStream, peer: SocketAddr) {
-    // Failure only costs time.
+    // Without TCP_NODELAY the connection is slower but still works.
     let _ = stream.set_nodelay(true);
-    wait(inner.settings.limits.connect_cost).await;
+    sleep(inner.settings.limits.connect_cost).await;
     let one_way = inner.settings.geography.one_way(peer.ip(), &inner.settings.zone);
     let service = service_fn(move |request| {
         let inner = Arc::clone(inner);
         async move {
-            wait(one_way).await;
+            sleep(one_way).await;
             let reply = inner.handle(request).await;
-            wait(one_way).await;
-            reply.ok_or_else(|| std::io::Error::other("cut on purpose"))
+            sleep(one_way).await;
+            reply.ok_or_else(|| std::io::Error::other("connection closed by an injected fault"))
         }
     });
-    // A cut connection is what the caller sees; there is nothing to add here.
+    // The client sees a closed connection, and the stand-in has nothing to report.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
 impl Inner {
-    /// Answers a request, or nothing where the connection is to be cut.
+    /// Handles a request. Returns `None` if the connection is to be closed without a response.
     async fn handle(&self, request: Request<Incoming>) -> Option<Response<Body>> {
         let path = request.uri().path().to_owned();
         let mut response = match (request.method(), path.as_str()) {
@@ -261,15 +262,15 @@
             (&Method::GET, "/effects") => {
                 json(StatusCode::OK, serde_json::to_vec(&self.lock().effects).ok()?)
             }
-            (&Method::POST, "/faults") => self.take_faults(request).await,
+            (&Method::POST, "/faults") => self.replace_faults(request).await,
             _ => text(StatusCode::NOT_FOUND, "unknown path"),
         };
-        self.mark(&mut response, path == protocol::STATUS);
+        self.add_headers(&mut response, path == protocol::STATUS);
         Some(response)
     }
 
-    /// Adds the headers that every answer carries.
-    fn mark(&self, response: &mut Response<Body>, status: bool) {
+    /// Adds the headers that every response carries.
+    fn add_headers(&self, response: &mut Response<Body>, status: bool) {
         let state = self.lock();
         let held: Vec<Version> = state.versions.iter().copied().collect();
         let claimed = state.faults.claimed.clone().filter(|_| status).unwrap_or(held);
@@ -289,33 +290,33 @@
     async fn search(&self, request: Request<Incoming>) -> Option<Response<Body>> {
         self.searches.fetch_add(1, Ordering::Relaxed);
         self.lock().last_search = Some(Instant::now());
-        let (id, left) = headers(&request);
-        let body = read_body(request, LARGEST_BODY).await.ok()?;
+        let (id, left) = request_headers(&request);
+        let body = read_body(request, MAX_BODY_LEN).await.ok()?;
         let Ok(search) = serde_json::from_slice::<Search>(&body) else {
             return Some(text(StatusCode::BAD_REQUEST, "not a search"));
         };
-        if let Some(refusal) = self.refuse() {
+        if let Some(refusal) = self.refusal() {
             return Some(refusal);
         }
         let cancel = CancellationToken::new();
         self.lock().running.insert(Name::clone(&id), cancel.clone());
-        let worked = tokio::select! {
+        let completed = tokio::select! {
             () = cancel.cancelled() => None,
-            worked = tokio::time::timeout(left, self.work()) => worked.ok(),
+            completed = tokio::time::timeout(left, self.work()) => completed.ok(),
         };
         self.lock().running.remove(&id);
         if self.lock().faults.fatal.as_ref() == Some(&search.query) {
             self.stop.cancel();
             return None;
         }
-        if worked.is_none() {
+        if completed.is_none() {
             return Some(text(StatusCode::GATEWAY_TIMEOUT, "cancelled or late"));
         }
         self.lock().effects.push(Effect::Search { request: id });
-        self.found(&search)
+        self.search_reply(&search)
     }
 
-    fn found(&self, search: &Search) -> Option<Response<Body>> {
+    fn search_reply(&self, search: &Search) -> Option<Response<Body>> {
         let mut state = self.lock();
         let corpus = state.corpora.get(&search.epoch).cloned();
         let held = state.versions.contains(&search.version);
@@ -331,19 +332,19 @@
         let version = if wrong { search.version + 1 } else { search.version };
         let (documents, hits) = corpus.search(&search.query, version);
         let Search { shard, epoch, .. } = *search;
-        let found = SearchReply { shard, epoch, version, documents, hits };
-        Some(json(StatusCode::OK, serde_json::to_vec(&found).ok()?))
+        let reply = SearchReply { shard, epoch, version, documents, hits };
+        Some(json(StatusCode::OK, serde_json::to_vec(&reply).ok()?))
     }
 
     async fn write(&self, request: Request<Incoming>) -> Option<Response<Body>> {
-        let (_, left) = headers(&request);
+        let (_, left) = request_headers(&request);
         let key = request.headers().get(protocol::KEY)?.to_str().ok()?;
         let key = Name::from(key);
-        let body = read_body(request, LARGEST_BODY).await.ok()?;
+        let body = read_body(request, MAX_BODY_LEN).await.ok()?;
         let Ok(write) = serde_json::from_slice::<Write>(&body) else {
             return Some(not_run(StatusCode::BAD_REQUEST, "not a write"));
         };
-        if let Some(refusal) = self.refuse() {
+        if let Some(refusal) = self.refusal() {
             let status = refusal.status();
             return Some(not_run(status, "refused"));
         }
@@ -351,8 +352,8 @@
             return Some(not_run(StatusCode::GATEWAY_TIMEOUT, "late"));
         }
         let mut state = self.lock();
-        state.ledger += 1;
-        let receipt = Name::from(format!("{}-{}", self.run, state.ledger));
+        state.write_count += 1;
+        let receipt = Name::from(format!("{}-{}", self.run, state.write_count));
         state.effects.push(Effect::Write { key, record: write.record, body: write.body });
         let cut = state.draw(|faults| faults.cut_writes);
         drop(state);
@@ -362,15 +363,16 @@
         Some(json(StatusCode::OK, serde_json::to_vec(&Receipt { receipt }).ok()?))
     }
 
-    /// Waits for a slot and takes the time that a request takes.
+    /// Waits for a slot and occupies it for the service time of a request.
     async fn work(&self) {
         let slot = self.slots.acquire().await;
         let time = self.lock().service_time(self.settings.limits.service_time);
-        wait(time).await;
+        sleep(time).await;
         drop(slot);
     }
 
-    fn refuse(&self) -> Option<Response<Body>> {
+    /// Returns the response that rejects a request, if the injected faults demand it.
+    fn refusal(&self) -> Option<Response<Body>> {
         let mut state = self.lock();
         if state.faults.gone {
             return Some(text(StatusCode::GONE, "leaving"));
@@ -385,8 +387,8 @@
         text(StatusCode::OK, "cancelled")
     }
 
-    async fn take_faults(&self, request: Request<Incoming>) -> Response<Body> {
-        let body = read_body(request, LARGEST_BODY).await.unwrap_or_default();
+    async fn replace_faults(&self, request: Request<Incoming>) -> Response<Body> {
+        let body = read_body(request, MAX_BODY_LEN).await.unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(faults) => {
                 self.lock().faults = faults;
@@ -402,16 +404,17 @@
 }
 
 impl State {
-    fn draw(&mut self, part: impl Fn(&Faults) -> f64) -> bool {
-        let part = part(&self.faults);
-        part > 0.0 && self.rng.random::<f64>() < part
+    /// Returns whether a fault occurs, given the probability that `probability` reads.
+    fn draw(&mut self, probability: impl Fn(&Faults) -> f64) -> bool {
+        let probability = probability(&self.faults);
+        probability > 0.0 && self.rng.random::<f64>() < probability
     }
 
-    /// Draws a service time: half of the mean at least, with a short tail, times what
-    /// straggling, slowness and cold add.
+    /// Generates a service time: at least half of `mean`, with a short tail, multiplied by the
+    /// factors for stragglers, slow searchers and cold starts.
     fn service_time(&mut self, mean: Duration) -> Duration {
         let draw: f64 = self.rng.random();
-        let mut factor = 0.5 + (SPREAD - 0.5) * draw.powi(2);
+        let mut factor = 0.5 + (MAX_SERVICE_TIME_FACTOR - 0.5) * draw.powi(2);
         if self.draw(|faults| faults.straggle) {
             factor *= self.faults.straggle_factor.max(1.0);
         }
@@ -423,21 +426,23 @@
     }
 }
 
-/// Sleeps, unless there is no time to sleep for: a timer takes a millisecond at least.
-async fn wait(time: Duration) {
+/// Sleeps. Returns at once for a zero duration, because a timer takes at least a millisecond.
+async fn sleep(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
 }
 
-fn headers(request: &Request<Incoming>) -> (Name, Duration) {
+/// Returns the request identifier and the time left until the deadline.
+fn request_headers(request: &Request<Incoming>) -> (Name, Duration) {
     let text = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
     let left = text(protocol::DEADLINE).and_then(|text| text.parse().ok()).unwrap_or(1_000_000);
     (Name::from(text(protocol::REQUEST).unwrap_or_default()), Duration::from_micros(left))
 }
 
-fn not_run(status: StatusCode, cause: &'static str) -> Response<Body> {
-    let mut response = text(status, cause);
+/// Returns an error response to a write that was not executed.
+fn not_run(status: StatusCode, message: &'static str) -> Response<Body> {
+    let mut response = text(status, message);
     response
         .headers_mut()
         .insert(HeaderName::from_static(protocol::NOT_RUN), HeaderValue::from_static("1"));
