--- a/crates/bench/src/capacity/control.rs
+++ b/crates/bench/src/capacity/control.rs
@@ -134,7 +134,7 @@
             zone: zone(number),
             state: Name::from("live"),
         });
-        platform.list(listed.collect());
+        platform.set_instances(listed.collect());
         let starts = (0..instances).flat_map(|n| [(n, Role::Entry), (n, Role::Gather)]);
         let starts = starts.map(|(number, role)| {
             let mut settings = Settings::default();
--- a/crates/bench/src/capacity/data.rs
+++ b/crates/bench/src/capacity/data.rs
@@ -82,10 +82,10 @@
     let (platform, searchers) = others.block_on(async {
         let platform = Platform::start(configuration, list).await.expect("the block is ours");
         platform.publish(&deployment.document(1));
-        platform.list(deployment.list(0..1));
+        platform.set_instances(deployment.list(0..1));
         let mut searchers = Vec::new();
         for (_, mut settings) in deployment.searchers(&[1]) {
-            settings.geography = Arc::default();
+            settings.topology = Arc::default();
             searchers.push(Searcher::start(settings).await.expect("the block is ours"));
         }
         (platform, searchers)
--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -68,7 +68,7 @@
         let [configuration, instances] = deployment.platform();
         let platform = Platform::start(configuration, instances).await?;
         platform.publish(&deployment.document(1));
-        platform.list(deployment.list(0..deployment.instances));
+        platform.set_instances(deployment.list(0..deployment.instances));
         let mut searchers = Vec::new();
         for (service, settings) in deployment.searchers(versions) {
             searchers.push((service, Searcher::start(settings).await?));
@@ -119,8 +119,8 @@
         // The old run's listener closes a moment after the kill.
         tokio::time::sleep(Duration::from_millis(100)).await;
         let fresh = Searcher::start(settings).await?;
-        fresh.chill(Duration::from_secs(1));
-        fresh.remember(before);
+        fresh.simulate_cold_start(Duration::from_secs(1));
+        fresh.prepend_effects(before);
         self.searchers[number] = (service, fresh);
         Ok(())
     }
--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use bergamot_model::fleet::{Fleet, LATER, Report, WITHIN, run};
+use bergamot_model::fleet::{FIRST_CHANGE_AT, Fleet, Report, START_SPREAD, run};
 
 /// The share of the living members that everybody must know.
 const KNOWN: f64 = 0.99;
@@ -32,18 +32,18 @@
 }
 
 fn rows(members: usize, seed: u64) -> Vec<Row> {
-    let back = LATER + Duration::from_millis(1400) + WITHIN;
-    let healed = LATER + Duration::from_secs(10);
-    let replaced = Fleet::being_replaced(members);
-    let last = replaced.lasts.saturating_sub(STEADY);
+    let back = FIRST_CHANGE_AT + Duration::from_millis(1400) + START_SPREAD;
+    let healed = FIRST_CHANGE_AT + Duration::from_secs(10);
+    let replaced = Fleet::with_replacements(members);
+    let last = replaced.duration.saturating_sub(STEADY);
     let lossy = Fleet { loss: 0.1, ..Fleet::starting(members) };
     let loads = [
-        ("all start at once", Fleet::starting(members), Duration::ZERO, WITHIN),
-        ("all lose power at once", Fleet::losing_power(members), LATER, back),
-        ("one dies", Fleet::losing_one(members), LATER, LATER),
-        ("a third was cut off for 10 s", Fleet::cut_apart(members), healed, healed),
+        ("all start at once", Fleet::starting(members), Duration::ZERO, START_SPREAD),
+        ("all lose power at once", Fleet::with_power_failure(members), FIRST_CHANGE_AT, back),
+        ("one dies", Fleet::with_crash(members), FIRST_CHANGE_AT, FIRST_CHANGE_AT),
+        ("a third was cut off for 10 s", Fleet::with_partition(members), healed, healed),
         ("replaced, 3,200 a day", replaced, last, last),
-        ("start, one datagram in ten lost", lossy, Duration::ZERO, WITHIN),
+        ("start, one datagram in ten lost", lossy, Duration::ZERO, START_SPREAD),
     ];
     let row = |(load, fleet, begun, from): (&'static str, Fleet, Duration, Duration)| {
         let fleet = Fleet { seed, ..fleet };
@@ -65,10 +65,10 @@
     Row {
         load,
         members: fleet.members,
-        known: report.known(from, KNOWN),
-        agreed: report.agreed(from),
-        sent: report.bytes(begun, fleet.lasts),
-        between_zones: report.total(begun, fleet.lasts).between_zones,
+        known: report.time_until_known(from, KNOWN),
+        agreed: report.time_until_agreed(from),
+        sent: report.bytes_sent(begun, fleet.duration),
+        between_zones: report.total_traffic(begun, fleet.duration).between_zones,
         work,
     }
 }
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -7,7 +7,7 @@
 
 use bergamot_base::{Name, Seed, Version};
 use bergamot_config::Settings;
-use bergamot_standin::{Corpus, Geography, Instance, Limits, SearcherSettings};
+use bergamot_standin::{Corpus, Instance, Limits, SearcherSettings, Topology};
 use serde_json::json;
 
 /// One way between zones of a region, from the brief.
@@ -224,7 +224,7 @@
 
     /// Returns the settings of every searcher, with the service of each.
     pub fn searchers(&self, versions: &[Version]) -> Vec<(usize, SearcherSettings)> {
-        let geography = Arc::new(self.geography());
+        let topology = Arc::new(self.topology());
         let mut settings = Vec::new();
         for (index, service) in self.services.iter().enumerate() {
             for position in 0..service.shards {
@@ -243,7 +243,7 @@
                         corpus,
                         versions: versions.to_vec(),
                         seed: self.seed,
-                        geography: Arc::clone(&geography),
+                        topology: Arc::clone(&topology),
                     };
                     settings.push((index, searcher));
                 }
@@ -252,10 +252,10 @@
         settings
     }
 
-    fn geography(&self) -> Geography {
+    fn topology(&self) -> Topology {
         let zones = (0..self.instances).map(|n| (self.instance(n), self.zone(n))).collect();
         let regions: HashMap<Name, Name> = self.zones().into_iter().collect();
-        Geography { zones, regions, between_zones: BETWEEN_ZONES, between_regions: BETWEEN_REGIONS }
+        Topology { zones, regions, between_zones: BETWEEN_ZONES, between_regions: BETWEEN_REGIONS }
     }
 
     /// Returns how many descriptors both ends of all connections take that searchers accept.
--- a/crates/bench/src/emulate.rs
+++ b/crates/bench/src/emulate.rs
@@ -66,17 +66,17 @@
         }
         let default = Load::default();
         let streams = default.streams.iter().cloned().map(|mut stream| {
-            stream.per_s *= self.times;
+            stream.rate_per_s *= self.times;
             stream
         });
         // The crash comes a third into the run, so that the members know their searchers.
         let crash =
-            Crash { percent: self.crash, at: self.lasts / 3, lasts: Duration::from_secs(3) };
+            Crash { percent: self.crash, at: self.lasts / 3, duration: Duration::from_secs(3) };
         Ok(Load {
             seed,
-            lasts: self.lasts,
+            duration: self.lasts,
             pauses,
-            far: self.far,
+            inter_region_latency: self.far,
             streams: streams.collect(),
             crash: (self.crash > 0).then_some(crash),
             policy: *policy,
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -65,7 +65,9 @@
                 let faults = Faults { straggle: 0.02, straggle_factor: 40.0, ..Faults::default() };
                 every(1).for_each(|searcher| searcher.set_faults(faults.clone()));
             }
-            Self::ColdStarts => every(10).for_each(|s| s.chill(Duration::from_mins(1))),
+            Self::ColdStarts => {
+                every(10).for_each(|s| s.simulate_cold_start(Duration::from_mins(1)));
+            }
             Self::Sheds => {
                 let faults = Faults { shed: 0.05, ..Faults::default() };
                 every(1).for_each(|searcher| searcher.set_faults(faults.clone()));
--- a/crates/bench/src/leaving.rs
+++ b/crates/bench/src/leaving.rs
@@ -69,7 +69,7 @@
                 zone: cluster.deployment.zone(0),
                 state: Name::from("leaving"),
             }));
-            cluster.platform.list(list);
+            cluster.platform.set_instances(list);
         }
     }
 }
--- a/crates/bench/src/storm.rs
+++ b/crates/bench/src/storm.rs
@@ -195,7 +195,7 @@
         self.next_instance += 1;
         self.cluster.add(fresh).await?;
         let listed = numbers.into_iter().chain([fresh]).filter(|number| *number != victim);
-        self.cluster.platform.list(self.cluster.deployment.list(listed));
+        self.cluster.platform.set_instances(self.cluster.deployment.list(listed));
         self.cluster.remove(victim).await;
         Ok(())
     }
--- a/crates/bench/tests/fatal.rs
+++ b/crates/bench/tests/fatal.rs
@@ -48,7 +48,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let shards = cluster.deployment.services[0].shards;
-    let ended = board.iter().filter(|searcher| searcher.has_ended()).count();
+    let ended = board.iter().filter(|searcher| searcher.has_stopped()).count();
     assert!(ended <= shards + TRIALS, "{ended} searchers ended");
     // A trial may have taken the last searcher of its shard, and no other is missing.
     until("others are answered", || async {
@@ -59,8 +59,8 @@
     })
     .await;
     // The harmful one isn't run any more, though searchers are there.
-    let before = board.iter().filter(|searcher| searcher.has_ended()).count();
+    let before = board.iter().filter(|searcher| searcher.has_stopped()).count();
     let (_, body) = ask(instance(0), r#"{"shape": "top", "k": 7}"#).await;
-    let after = board.iter().filter(|searcher| searcher.has_ended()).count();
+    let after = board.iter().filter(|searcher| searcher.has_stopped()).count();
     assert_eq!(after, before, "{body}");
 }
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -71,10 +71,10 @@
         });
     }
     no_new_work(&cluster, async {
-        cluster.platform.list(fresh);
+        cluster.platform.set_instances(fresh);
         tokio::time::sleep(SECOND).await;
         // The list forgets again: a stale list must not bring them back.
-        cluster.platform.list(stale);
+        cluster.platform.set_instances(stale);
     })
     .await;
 }
@@ -92,7 +92,7 @@
         for number in new {
             cluster.add(number).await.expect("the addresses are free");
         }
-        cluster.platform.list(deployment.list(2 * round + 2..10 + 2 * round));
+        cluster.platform.set_instances(deployment.list(2 * round + 2..10 + 2 * round));
         cluster.remove_together(&old).await;
     }
     let mut history = load.await.expect("the load ran to its end");
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -22,11 +22,11 @@
     /// Stops these members without a departure message, as a crash does.
     Stop(Vec<usize>),
     /// Partitions the network: these members reach only each other.
-    Cut(Vec<usize>),
+    Partition(Vec<usize>),
     /// Ends the partition.
     Heal,
     /// Changes the configured seeds of all members.
-    Seeds(Vec<usize>),
+    SetSeeds(Vec<usize>),
     /// Ends searchers by trials of a request at this member, so that it condemns the request.
     Condemn(usize),
 }
@@ -43,15 +43,15 @@
     /// The fraction of datagrams that are lost.
     pub loss: f64,
     /// The maximum difference between the members' clocks.
-    pub clocks: Duration,
+    pub max_clock_skew: Duration,
     /// How long a member processes one datagram.
-    pub work: Duration,
+    pub processing_time: Duration,
     /// The seeds that all members are configured with at the start.
     pub seeds: Vec<usize>,
     /// The scheduled changes with their times from the start of the run.
     pub steps: Vec<(Duration, Step)>,
     /// The length of the run.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 impl Default for Fleet {
@@ -64,73 +64,75 @@
             zones: 6,
             // The loss rate of a well-utilised local network.
             loss: 0.001,
-            clocks: Duration::from_millis(200),
+            max_clock_skew: Duration::from_millis(200),
             // 60 us of CPU time on an eighth of a core.
-            work: Duration::from_micros(400),
+            processing_time: Duration::from_micros(400),
             seeds: vec![0, 1, 2],
             steps: Vec::new(),
-            lasts: Duration::from_secs(10),
+            duration: Duration::from_secs(10),
         }
     }
 }
 
 /// The time from the first member's start to the last one's.
-pub const WITHIN: Duration = Duration::from_millis(300);
+pub const START_SPREAD: Duration = Duration::from_millis(300);
 
 /// The time of the first change to a fleet that has converged after its start.
-pub const LATER: Duration = Duration::from_secs(12);
+pub const FIRST_CHANGE_AT: Duration = Duration::from_secs(12);
 
 impl Fleet {
-    /// Starts all members within [`WITHIN`].
+    /// Starts all members within [`START_SPREAD`].
     pub fn starting(members: usize) -> Self {
-        let steps = vec![(Duration::ZERO, Step::Start((0..members).collect(), WITHIN))];
+        let steps = vec![(Duration::ZERO, Step::Start((0..members).collect(), START_SPREAD))];
         Self { members, steps, ..Self::default() }
     }
 
-    /// Stops all members at [`LATER`], as a power failure does, and starts them again 1.4 s later.
-    pub fn losing_power(members: usize) -> Self {
+    /// Stops all members at [`FIRST_CHANGE_AT`], as a power failure does, and starts them again
+    /// 1.4 s later.
+    pub fn with_power_failure(members: usize) -> Self {
         let all: Vec<usize> = (0..members).collect();
-        let back = LATER + Duration::from_millis(1400);
-        let stop = (LATER, Step::Stop(all.clone()));
-        Self::starting(members).then([stop, (back, Step::Start(all, WITHIN))])
+        let back = FIRST_CHANGE_AT + Duration::from_millis(1400);
+        let stop = (FIRST_CHANGE_AT, Step::Stop(all.clone()));
+        Self::starting(members).with_steps([stop, (back, Step::Start(all, START_SPREAD))])
     }
 
-    /// Partitions a third of the members from the others for 10 s, from [`LATER`] on.
-    pub fn cut_apart(members: usize) -> Self {
+    /// Partitions a third of the members from the others for 10 s, from [`FIRST_CHANGE_AT`] on.
+    pub fn with_partition(members: usize) -> Self {
         let third = (0..members).filter(|member| member % 3 == 0).collect();
-        let end = LATER + Duration::from_secs(10);
-        Self::starting(members).then([(LATER, Step::Cut(third)), (end, Step::Heal)])
+        let end = FIRST_CHANGE_AT + Duration::from_secs(10);
+        Self::starting(members)
+            .with_steps([(FIRST_CHANGE_AT, Step::Partition(third)), (end, Step::Heal)])
     }
 
-    /// Stops one member at [`LATER`].
-    pub fn losing_one(members: usize) -> Self {
-        Self::starting(members).then([(LATER, Step::Stop(vec![members / 2]))])
+    /// Stops one member at [`FIRST_CHANGE_AT`].
+    pub fn with_crash(members: usize) -> Self {
+        Self::starting(members).with_steps([(FIRST_CHANGE_AT, Step::Stop(vec![members / 2]))])
     }
 
-    /// Makes one member condemn a request at [`LATER`].
-    pub fn condemning(members: usize) -> Self {
-        Self::starting(members).then([(LATER, Step::Condemn(members / 2))])
+    /// Makes one member condemn a request at [`FIRST_CHANGE_AT`].
+    pub fn with_condemnation(members: usize) -> Self {
+        Self::starting(members).with_steps([(FIRST_CHANGE_AT, Step::Condemn(members / 2))])
     }
 
-    /// Stops two members in turn from [`LATER`] on and starts each again a second later, at a
-    /// rate of 3,200 replacements a day. That is the rate of a fleet of 1,800 members; smaller
+    /// Stops two members in turn from [`FIRST_CHANGE_AT`] on and starts each again a second later,
+    /// at a rate of 3,200 replacements a day. That is the rate of a fleet of 1,800 members; smaller
     /// fleets have the same.
-    pub fn being_replaced(members: usize) -> Self {
+    pub fn with_replacements(members: usize) -> Self {
         let gap = Duration::from_hours(24) / 3_200;
         let replacement = |turn: u32| {
-            let (member, at) = (turn as usize * 7 % members, LATER + gap * turn);
+            let (member, at) = (turn as usize * 7 % members, FIRST_CHANGE_AT + gap * turn);
             let back = at + Duration::from_secs(1);
             [(at, Step::Stop(vec![member])), (back, Step::Start(vec![member], Duration::ZERO))]
         };
-        Self::starting(members).then((0..2).flat_map(replacement))
+        Self::starting(members).with_steps((0..2).flat_map(replacement))
     }
 
     /// Appends steps and extends the run to 10 s after the last step.
     #[must_use]
-    pub fn then(mut self, steps: impl IntoIterator<Item = (Duration, Step)>) -> Self {
+    pub fn with_steps(mut self, steps: impl IntoIterator<Item = (Duration, Step)>) -> Self {
         self.steps.extend(steps);
         let last = self.steps.iter().map(|(at, _)| *at).max().unwrap_or_default();
-        self.lasts = last + Duration::from_secs(10);
+        self.duration = last + Duration::from_secs(10);
         self
     }
 }
--- a/crates/model/src/fleet/report.rs
+++ b/crates/model/src/fleet/report.rs
@@ -8,13 +8,13 @@
     /// The time since the start of the run.
     pub at: Duration,
     /// The smallest share of the running members that any member considers alive.
-    pub least: f64,
+    pub min_known: f64,
     /// The share of the running members that the median member considers alive.
-    pub median: f64,
+    pub median_known: f64,
     /// The share of the running members that consider the request condemned.
-    pub condemning: f64,
+    pub condemned: f64,
     /// The largest number of stopped members that any member would still send work to.
-    pub mourned: usize,
+    pub max_stale: usize,
     /// Whether all members consider the same members alive, and therefore place requests alike.
     pub agreed: bool,
 }
@@ -44,20 +44,20 @@
 impl Report {
     /// Returns how long after `from` every member considered at least this share of the running
     /// members alive and no stopped one, and did so until the end of the run.
-    pub fn known(&self, from: Duration, share: f64) -> Option<Duration> {
-        self.converged(from, |sample| sample.least >= share && sample.mourned == 0)
+    pub fn time_until_known(&self, from: Duration, share: f64) -> Option<Duration> {
+        self.converged(from, |sample| sample.min_known >= share && sample.max_stale == 0)
     }
 
     /// Returns how long after `from` all members considered the same members alive, and did so
     /// until the end of the run.
-    pub fn agreed(&self, from: Duration) -> Option<Duration> {
+    pub fn time_until_agreed(&self, from: Duration) -> Option<Duration> {
         self.converged(from, |sample| sample.agreed)
     }
 
     /// Returns how long after `from` all members considered the request condemned, and did so
     /// until the end of the run.
-    pub fn condemned(&self, from: Duration) -> Option<Duration> {
-        self.converged(from, |sample| sample.condemning >= 1.0)
+    pub fn time_until_condemned(&self, from: Duration) -> Option<Duration> {
+        self.converged(from, |sample| sample.condemned >= 1.0)
     }
 
     /// Returns the time from `from` to the first sample since which `holds` was true.
@@ -70,21 +70,21 @@
         since.map(|at| at.saturating_sub(from))
     }
 
-    /// Returns the lowest [`Sample::median`] since `from`.
+    /// Returns the lowest [`Sample::median_known`] since `from`.
     pub fn lowest_median(&self, from: Duration) -> f64 {
         let later = self.samples.iter().filter(|sample| sample.at >= from);
-        later.map(|sample| sample.median).fold(1.0, f64::min)
+        later.map(|sample| sample.median_known).fold(1.0, f64::min)
     }
 
     /// Returns the bytes that members sent between two times: the mean and the maximum.
-    pub fn bytes(&self, from: Duration, to: Duration) -> (f64, u64) {
+    pub fn bytes_sent(&self, from: Duration, to: Duration) -> (f64, u64) {
         let sent = self.between(from, to, |traffic| traffic.bytes);
         let max = sent.iter().copied().max().unwrap_or(0);
         (sent.iter().sum::<u64>() as f64 / sent.len().max(1) as f64, max)
     }
 
     /// Returns the traffic of all members between two times.
-    pub fn total(&self, from: Duration, to: Duration) -> Traffic {
+    pub fn total_traffic(&self, from: Duration, to: Duration) -> Traffic {
         let sum = |field: fn(&Traffic) -> u64| self.between(from, to, field).iter().sum();
         Traffic {
             messages: sum(|traffic| traffic.messages),
--- a/crates/model/src/fleet/simulation.rs
+++ b/crates/model/src/fleet/simulation.rs
@@ -128,7 +128,7 @@
     }
 
     fn run(mut self) -> Report {
-        let end = micros(self.fleet.lasts);
+        let end = micros(self.fleet.duration);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 break;
@@ -170,14 +170,14 @@
                     self.instances[*member].member = None;
                 }
             }
-            Step::Cut(members) => {
+            Step::Partition(members) => {
                 for member in members {
                     self.instances[*member].partition = 1;
                 }
             }
             Step::Heal => self.instances.iter_mut().for_each(|instance| instance.partition = 0),
             Step::Condemn(member) => self.condemn(*member),
-            Step::Seeds(seeds) => {
+            Step::SetSeeds(seeds) => {
                 self.seeds.clone_from(seeds);
                 let (now, seeds) = (self.instant(), self.seed_endpoints());
                 for number in 0..self.instances.len() {
@@ -208,7 +208,7 @@
 
     fn start(&mut self, number: usize) {
         let (now, seeds) = (self.instant(), self.seed_endpoints());
-        let clock_offset = self.rng.random_range(0..=micros(self.fleet.clocks)) / 1000;
+        let clock_offset = self.rng.random_range(0..=micros(self.fleet.max_clock_skew)) / 1000;
         // An arbitrary offset, so that no clock starts at zero.
         let clock = 1_000_000 + self.now / 1000 + clock_offset;
         let instance = &mut self.instances[number];
@@ -273,7 +273,7 @@
         let mut out = member.receive(now, &datagram, digest);
         suspicions.merge_received(now, member);
         out.extend(suspicions.send_missing(now, member, &datagram, digest));
-        instance.busy_until = self.now + micros(self.fleet.work);
+        instance.busy_until = self.now + micros(self.fleet.processing_time);
         self.send(to, out);
         self.set_timer(to);
     }
@@ -318,11 +318,11 @@
         let stopped: Vec<Endpoint> = stopped.map(|(number, _)| endpoint(number)).collect();
         let members = || self.instances.iter().filter_map(|instance| instance.member.as_ref());
         let mut known = Vec::new();
-        let mut mourned = 0;
+        let mut max_stale = 0;
         for view in members().map(Membership::view) {
             let stale = stopped.iter().filter(|endpoint| view.takes_work(**endpoint)).count();
             known.push(view.available_count() - stale);
-            mourned = mourned.max(stale);
+            max_stale = max_stale.max(stale);
         }
         let all = known.len().max(1) as f64;
         known.sort_unstable();
@@ -339,13 +339,13 @@
             )
         };
         let running = self.instances.iter().filter(|instance| instance.member.is_some());
-        let condemning = running.filter(condemned).count();
+        let condemned_count = running.filter(condemned).count();
         self.report.samples.push(Sample {
             at: Duration::from_micros(self.now),
-            least: share(0),
-            median: share(known.len() / 2),
-            mourned,
-            condemning: condemning as f64 / all,
+            min_known: share(0),
+            median_known: share(known.len() / 2),
+            max_stale,
+            condemned: condemned_count as f64 / all,
             agreed: members().next().is_none_or(|member| same(member.view())),
         });
         self.report.sent.push(self.instances.iter().map(|instance| instance.sent).collect());
--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -10,7 +10,7 @@
     /// The name of the route in the report.
     pub name: &'static str,
     /// The request rate over all members, per second.
-    pub per_s: f64,
+    pub rate_per_s: f64,
     /// The mean service time of a searcher with a speed of 1.
     pub work: Duration,
     /// The target latency: later responses count as late.
@@ -50,7 +50,7 @@
     /// When they crash, from the start of the run.
     pub at: Duration,
     /// How long they refuse connections.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// The parameters of a run.
@@ -59,10 +59,10 @@
     /// The seed of all random values.
     pub seed: u64,
     /// For how long requests arrive.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// When measurement starts: requests that arrive earlier are left out of the report, so that
     /// the learning phase can be excluded.
-    pub counts_from: Duration,
+    pub measure_from: Duration,
     /// The number of members; requests are distributed evenly over them.
     pub members: usize,
     /// How many shards the index has.
@@ -72,15 +72,15 @@
     /// How many requests a searcher processes concurrently.
     pub slots: usize,
     /// How many requests a searcher queues before it rejects more.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Factors on the service time, assigned to the searchers in turn; above 1 is slower.
-    pub speeds: Vec<f64>,
+    pub service_time_factors: Vec<f64>,
     /// How searchers pause.
     pub pauses: Pauses,
     /// The one-way latency between a member and a searcher of the same region.
-    pub near: Duration,
+    pub intra_region_latency: Duration,
     /// The one-way latency between a member and a searcher of another region.
-    pub far: Duration,
+    pub inter_region_latency: Duration,
     /// The number of regions; members and searchers are distributed evenly over them.
     pub regions: usize,
     /// The routes.
@@ -88,7 +88,7 @@
     /// The crash to simulate, if any.
     pub crash: Option<Crash>,
     /// When all members lose their state, as after a power failure.
-    pub forgets: Option<Duration>,
+    pub state_loss_at: Option<Duration>,
     /// The settings of the dispatch logic.
     pub policy: Policy,
 }
@@ -101,7 +101,7 @@
         let ms = Duration::from_millis;
         let broad = Stream {
             name: "broad",
-            per_s: 67.5,
+            rate_per_s: 67.5,
             work: ms(20),
             target: ms(200),
             deadline: ms(3000),
@@ -109,7 +109,7 @@
         };
         let strict = Stream {
             name: "strict",
-            per_s: 22.5,
+            rate_per_s: 22.5,
             work: Duration::from_micros(6700),
             target: ms(100),
             deadline: ms(1500),
@@ -117,21 +117,21 @@
         };
         Self {
             seed: 1,
-            lasts: Duration::from_secs(30),
-            counts_from: Duration::ZERO,
+            duration: Duration::from_secs(30),
+            measure_from: Duration::ZERO,
             members: 6,
             shards: 20,
             replicas: 2,
             slots: 2,
-            queue: 12,
-            speeds: vec![0.8, 1.0, 1.3],
+            queue_capacity: 12,
+            service_time_factors: vec![0.8, 1.0, 1.3],
             pauses: Pauses::Recurring { every: ms(6000), length: ms(250) },
-            near: Duration::from_micros(500),
-            far: ms(8),
+            intra_region_latency: Duration::from_micros(500),
+            inter_region_latency: ms(8),
             regions: 3,
             streams: vec![broad, strict],
             crash: None,
-            forgets: None,
+            state_loss_at: None,
             policy: Policy::default(),
         }
     }
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -73,9 +73,9 @@
     /// The results of each route, in the order of [`Load::streams`](crate::Load::streams).
     pub outcomes: Vec<Outcome>,
     /// How many first attempts were sent to searchers.
-    pub first: usize,
+    pub first_attempts: usize,
     /// How many hedges and retries were sent.
-    pub additional: usize,
+    pub additional_attempts: usize,
     /// How many attempts reached a searcher that was paused, or that paused before it could
     /// complete them.
     pub paused: usize,
@@ -86,7 +86,7 @@
 impl Report {
     /// Returns the ratio of additional attempts to first attempts.
     pub fn extra(&self) -> f64 {
-        self.additional as f64 / self.first.max(1) as f64
+        self.additional_attempts as f64 / self.first_attempts.max(1) as f64
     }
 
     /// Returns the mean utility of a request over all routes.
--- a/crates/model/src/searcher.rs
+++ b/crates/model/src/searcher.rs
@@ -41,30 +41,30 @@
 impl Searcher {
     /// Creates a searcher and generates its pauses and its crash.
     pub(crate) fn new(load: &Load, number: usize, region: usize, rng: &mut StdRng) -> Self {
-        let lasts = micros(load.lasts) * 2;
+        let horizon = micros(load.duration) * 2;
         let (pauses, pause_length) = match load.pauses {
             Pauses::Never => (Vec::new(), 0),
             Pauses::Recurring { every, length } => {
                 let every = micros(every);
                 let phase = rng.random_range(0..every);
-                ((0..lasts / every).map(|turn| phase + turn * every).collect(), micros(length))
+                ((0..horizon / every).map(|turn| phase + turn * every).collect(), micros(length))
             }
             Pauses::Random { every, length } => {
-                (random_pauses(micros(every), micros(length), lasts, rng), micros(length))
+                (random_pauses(micros(every), micros(length), horizon, rng), micros(length))
             }
         };
         let crash_period = load.crash.filter(|crash| rng.random_range(0..100) < crash.percent);
         Self {
             slots: load.slots,
-            queue_capacity: load.queue,
-            speed: load.speeds[number % load.speeds.len()],
+            queue_capacity: load.queue_capacity,
+            speed: load.service_time_factors[number % load.service_time_factors.len()],
             region,
             pauses,
             pause_length,
             running: Vec::new(),
             queue: VecDeque::new(),
             crash_period: crash_period
-                .map(|crash| (micros(crash.at), micros(crash.at + crash.lasts))),
+                .map(|crash| (micros(crash.at), micros(crash.at + crash.duration))),
         }
     }
 
@@ -131,10 +131,10 @@
 
 /// Generates non-overlapping pauses at random intervals: the time between the end of a pause
 /// and the start of the next has the mean `every`.
-fn random_pauses(every: Micros, length: Micros, lasts: Micros, rng: &mut StdRng) -> Vec<Micros> {
+fn random_pauses(every: Micros, length: Micros, horizon: Micros, rng: &mut StdRng) -> Vec<Micros> {
     let mut pauses = Vec::new();
     let mut next = 0;
-    while next < lasts {
+    while next < horizon {
         let gap = -(every as f64) * rng.random_range(1e-9..1.0_f64).ln();
         next += length + gap as Micros;
         pauses.push(next);
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -147,7 +147,13 @@
         let searcher = |number| Searcher::new(load, number, shards.region(number), &mut rng);
         let searchers = (0..shards.searcher_count()).map(searcher).collect();
         let outcomes = load.streams.iter().map(|stream| Outcome::new(stream.name)).collect();
-        let report = Report { outcomes, first: 0, additional: 0, paused: 0, turned_away: 0 };
+        let report = Report {
+            outcomes,
+            first_attempts: 0,
+            additional_attempts: 0,
+            paused: 0,
+            turned_away: 0,
+        };
         let mut simulation = Self {
             load,
             routes: load.streams.iter().map(|stream| route(load, stream)).collect(),
@@ -171,8 +177,8 @@
         for stream in 0..self.load.streams.len() {
             self.schedule_request(stream);
         }
-        if let Some(forgets) = self.load.forgets {
-            self.schedule(micros(forgets), Event::StateLoss);
+        if let Some(state_loss_at) = self.load.state_loss_at {
+            self.schedule(micros(state_loss_at), Event::StateLoss);
         }
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time;
@@ -214,10 +220,10 @@
     }
 
     fn schedule_request(&mut self, stream: usize) {
-        let mean = 1e6 / self.load.streams[stream].per_s;
+        let mean = 1e6 / self.load.streams[stream].rate_per_s;
         let gap = -mean * self.rng.random_range(1e-9..1.0_f64).ln();
         let next = self.now + gap as Micros;
-        if next < micros(self.load.lasts) {
+        if next < micros(self.load.duration) {
             self.schedule(next, Event::Request(stream));
         }
     }
@@ -271,8 +277,8 @@
         let arrival_time = self.now + self.network_delay(member, searcher);
         if self.is_measured(request) {
             let extra = !tried.is_empty();
-            self.report.first += usize::from(!extra);
-            self.report.additional += usize::from(extra);
+            self.report.first_attempts += usize::from(!extra);
+            self.report.additional_attempts += usize::from(extra);
             let paused = self.searchers[searcher].pauses_within(arrival_time, arrival_time + work);
             self.report.paused += usize::from(paused);
         }
@@ -289,8 +295,8 @@
 
     fn network_delay(&self, member: usize, searcher: usize) -> Micros {
         match distance(self.searchers[searcher].region, self.members[member].region) {
-            Distance::Zone | Distance::Region => micros(self.load.near),
-            Distance::Far => micros(self.load.far),
+            Distance::Zone | Distance::Region => micros(self.load.intra_region_latency),
+            Distance::Far => micros(self.load.inter_region_latency),
         }
     }
 
@@ -449,7 +455,7 @@
     }
 
     fn is_measured(&self, request: usize) -> bool {
-        self.requests[request].started_at >= micros(self.load.counts_from)
+        self.requests[request].started_at >= micros(self.load.measure_from)
     }
 }
 
--- a/crates/model/tests/fleet.rs
+++ b/crates/model/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use bergamot_model::fleet::{Fleet, LATER, Step, WITHIN, run};
+use bergamot_model::fleet::{FIRST_CHANGE_AT, Fleet, START_SPREAD, Step, run};
 
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
@@ -23,7 +23,7 @@
 #[track_caller]
 fn assert_converges(fleet: &Fleet, from: Duration, bound: Duration) {
     let report = run(fleet);
-    let (known, agreed) = (report.known(from, 0.99), report.agreed(from));
+    let (known, agreed) = (report.time_until_known(from, 0.99), report.time_until_agreed(from));
     let converged =
         known.is_some_and(|time| time <= bound) && agreed.is_some_and(|time| time <= bound);
     assert!(converged, "{} members: known after {known:?}, agreed after {agreed:?}", fleet.members);
@@ -32,28 +32,32 @@
 #[test]
 fn members_that_start_at_once_know_each_other() {
     for members in SIZES {
-        assert_converges(&Fleet::starting(members), WITHIN, START_LIMIT);
+        assert_converges(&Fleet::starting(members), START_SPREAD, START_LIMIT);
     }
 }
 
 /// The design limit of 1,800 members, at which some four million records are learnt one by one.
 #[test]
 fn members_of_the_largest_fleet_that_start_at_once_know_each_other() {
-    assert_converges(&Fleet { lasts: SECOND * 5, ..Fleet::starting(1800) }, WITHIN, SECOND * 4);
+    assert_converges(
+        &Fleet { duration: SECOND * 5, ..Fleet::starting(1800) },
+        START_SPREAD,
+        SECOND * 4,
+    );
 }
 
 #[test]
 fn members_that_lose_their_power_at_once_know_each_other_again() {
     for members in SIZES {
-        let back = LATER + MS * 1400 + WITHIN;
-        assert_converges(&Fleet::losing_power(members), back, START_LIMIT);
+        let back = FIRST_CHANGE_AT + MS * 1400 + START_SPREAD;
+        assert_converges(&Fleet::with_power_failure(members), back, START_LIMIT);
     }
 }
 
 #[test]
 fn a_member_that_dies_is_known_to_be_dead_everywhere() {
     for members in SIZES {
-        assert_converges(&Fleet::losing_one(members), LATER, SECOND * 3);
+        assert_converges(&Fleet::with_crash(members), FIRST_CHANGE_AT, SECOND * 3);
     }
 }
 
@@ -62,8 +66,8 @@
 #[test]
 fn members_rejoin_after_a_partition_and_no_other_is_suspected() {
     for members in SIZES {
-        let healed = LATER + SECOND * 10;
-        let fleet = Fleet::cut_apart(members);
+        let healed = FIRST_CHANGE_AT + SECOND * 10;
+        let fleet = Fleet::with_partition(members);
         assert_converges(&fleet, healed, SECOND * 3);
         let report = run(&fleet);
         let least = report.lowest_median(healed);
@@ -74,12 +78,12 @@
 #[test]
 fn members_that_are_replaced_are_known_and_control_stays_small() {
     for members in SIZES {
-        let fleet = Fleet::being_replaced(members);
-        let last = fleet.lasts.saturating_sub(SECOND * 10);
+        let fleet = Fleet::with_replacements(members);
+        let last = fleet.duration.saturating_sub(SECOND * 10);
         let report = run(&fleet);
-        let known = report.known(last, 0.99);
+        let known = report.time_until_known(last, 0.99);
         assert!(known.is_some_and(|time| time <= SECOND), "{members} members: {known:?}");
-        let (mean, max) = report.bytes(last, fleet.lasts);
+        let (mean, max) = report.bytes_sent(last, fleet.duration);
         let (mean, max) = (mean / 10.0, max / 10);
         assert!(mean < 2000.0 && max < 7000, "{members} members: {mean} and {max} B/s");
     }
@@ -89,16 +93,24 @@
 #[test]
 fn datagram_loss_only_delays_convergence() {
     for members in SIZES {
-        assert_converges(&Fleet { loss: 0.1, ..Fleet::starting(members) }, WITHIN, SECOND * 3);
+        assert_converges(
+            &Fleet { loss: 0.1, ..Fleet::starting(members) },
+            START_SPREAD,
+            SECOND * 3,
+        );
     }
 }
 
 #[test]
 fn clocks_that_are_far_apart_change_nothing() {
     for members in SIZES {
-        let clocks = SECOND * 30;
-        let back = LATER + MS * 1400 + WITHIN;
-        assert_converges(&Fleet { clocks, ..Fleet::losing_power(members) }, back, SECOND * 3);
+        let max_clock_skew = SECOND * 30;
+        let back = FIRST_CHANGE_AT + MS * 1400 + START_SPREAD;
+        assert_converges(
+            &Fleet { max_clock_skew, ..Fleet::with_power_failure(members) },
+            back,
+            SECOND * 3,
+        );
     }
 }
 
@@ -107,8 +119,8 @@
 fn one_running_seed_is_enough() {
     for members in SIZES {
         let all = (2..members).collect();
-        let steps = vec![(Duration::ZERO, Step::Start(all, WITHIN))];
-        assert_converges(&Fleet { steps, ..Fleet::starting(members) }, WITHIN, START_LIMIT);
+        let steps = vec![(Duration::ZERO, Step::Start(all, START_SPREAD))];
+        assert_converges(&Fleet { steps, ..Fleet::starting(members) }, START_SPREAD, START_LIMIT);
     }
 }
 
@@ -118,8 +130,8 @@
     for members in SIZES {
         let all = (3..members).collect();
         let steps = vec![
-            (Duration::ZERO, Step::Start(all, WITHIN)),
-            (SECOND * 3, Step::Seeds(vec![3, 4, 5])),
+            (Duration::ZERO, Step::Start(all, START_SPREAD)),
+            (SECOND * 3, Step::SetSeeds(vec![3, 4, 5])),
         ];
         assert_converges(&Fleet { steps, ..Fleet::starting(members) }, SECOND * 3, START_LIMIT);
     }
@@ -127,7 +139,7 @@
 
 #[test]
 fn the_same_fleet_gives_the_same_report() {
-    let fleet = Fleet::losing_power(30);
+    let fleet = Fleet::with_power_failure(30);
     let render = |fleet: &Fleet| {
         let report = run(fleet);
         format!("{:?} {:?}", report.samples, report.sent)
@@ -140,7 +152,7 @@
 #[test]
 fn a_request_that_one_member_condemns_is_condemned_by_all() {
     for members in SIZES {
-        let spread = run(&Fleet::condemning(members)).condemned(LATER);
+        let spread = run(&Fleet::with_condemnation(members)).time_until_condemned(FIRST_CHANGE_AT);
         assert!(spread.is_some_and(|time| time <= SECOND), "{members} members: {spread:?}");
     }
 }
@@ -150,15 +162,18 @@
 #[test]
 fn members_that_were_away_hear_of_what_was_condemned_meanwhile() {
     for members in SIZES {
-        let (condemned, healed) = (LATER + SECOND * 2, LATER + SECOND * 8);
-        let fleet = Fleet::starting(members).then([
-            (LATER, Step::Cut((0..members).filter(|member| member % 3 == 0).collect())),
-            (LATER, Step::Stop(vec![1])),
+        let (condemned, healed) = (FIRST_CHANGE_AT + SECOND * 2, FIRST_CHANGE_AT + SECOND * 8);
+        let fleet = Fleet::starting(members).with_steps([
+            (
+                FIRST_CHANGE_AT,
+                Step::Partition((0..members).filter(|member| member % 3 == 0).collect()),
+            ),
+            (FIRST_CHANGE_AT, Step::Stop(vec![1])),
             (condemned, Step::Condemn(2)),
             (healed, Step::Heal),
             (healed, Step::Start(vec![1], Duration::ZERO)),
         ]);
-        let spread = run(&fleet).condemned(healed);
+        let spread = run(&fleet).time_until_condemned(healed);
         assert!(spread.is_some_and(|time| time <= SECOND * 3), "{members} members: {spread:?}");
     }
 }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn the_same_load_gives_the_same_report() {
-    let load = Load { lasts: MS * 3000, ..Load::default() };
+    let load = Load { duration: MS * 3000, ..Load::default() };
     assert_eq!(run(&load).to_string(), run(&load).to_string());
     let other = Load { seed: 2, ..load.clone() };
     assert_ne!(run(&load).to_string(), run(&other).to_string());
@@ -28,8 +28,8 @@
 
 #[test]
 fn crashed_searchers_refuse_attempts_and_then_receive_few() {
-    let crash = Crash { percent: 30, at: MS * 10_000, lasts: MS * 3000 };
-    let load = Load { crash: Some(crash), lasts: MS * 20_000, ..Load::default() };
+    let crash = Crash { percent: 30, at: MS * 10_000, duration: MS * 3000 };
+    let load = Load { crash: Some(crash), duration: MS * 20_000, ..Load::default() };
     let (with, without) = (run(&load), run(&Load { crash: None, ..load.clone() }));
     assert!(with.turned_away > without.turned_away + 100, "{with}");
     // Sending a third of all attempts of these three seconds to them would give 1,900.
@@ -38,7 +38,7 @@
 
 #[test]
 fn members_that_lose_their_state_keep_serving() {
-    let load = Load { forgets: Some(MS * 5000), counts_from: MS * 5000, ..Load::default() };
+    let load = Load { state_loss_at: Some(MS * 5000), measure_from: MS * 5000, ..Load::default() };
     let report = run(&load);
     assert!(report.worth() > 0.95, "{report}");
 }
--- a/crates/model/tests/pauses.rs
+++ b/crates/model/tests/pauses.rs
@@ -28,7 +28,7 @@
         Self {
             worth: mean(&Report::worth),
             paused: reports.iter().map(|report| report.paused).sum(),
-            additional: reports.iter().map(|report| report.additional).sum(),
+            additional: reports.iter().map(|report| report.additional_attempts).sum(),
             median_ms: mean(&|report| report.outcomes[1].percentile(50.0).as_secs_f64() * 1e3),
         }
     }
@@ -43,8 +43,8 @@
             seed,
             pauses,
             policy,
-            lasts: MS * 35_000,
-            counts_from: MS * 15_000,
+            duration: MS * 35_000,
+            measure_from: MS * 15_000,
             ..Load::default()
         };
         Summary::of(&SEEDS.map(|seed| run(&load(seed))))
@@ -53,9 +53,9 @@
 }
 
 /// Each searcher pauses for 250 ms every 6 s, at its own phase. A request to 20 shards finds the
-/// first choice of at least one of them paused in 57 of 100 cases. If each member detects each pause
-/// anew, two or more requests run into it, and the median of the strict route is that of hedged
-/// requests (54 ms) instead of that of the searchers' service time (28 ms without pauses).
+/// first choice of at least one of them paused in 57 of 100 cases. If each member detects each
+/// pause anew, two or more requests run into it, and the median of the strict route is that of
+/// hedged requests (54 ms) instead of that of the searchers' service time (28 ms without pauses).
 #[test]
 fn searchers_with_periodic_pauses_are_avoided() {
     let (with, without) = compare(Pauses::Recurring { every: MS * 6000, length: MS * 250 });
--- a/crates/relay/tests/awake.rs
+++ b/crates/relay/tests/awake.rs
@@ -32,7 +32,7 @@
     relay.note_store_update(Instant::now());
     let reply = response.await.expect("request task panicked");
     assert!(matches!(reply, Reply::Refused(refusal) if refusal.cause == Cause::NotRun));
-    assert!(a.seen().is_empty());
+    assert!(a.requests().is_empty());
 }
 
 #[tokio::test]
--- a/crates/relay/tests/fatal.rs
+++ b/crates/relay/tests/fatal.rs
@@ -12,7 +12,7 @@
 
 use bergamot_declaration::{Kind, Target};
 use bergamot_relay::{Cause, Relay, Reply, Request};
-use bergamot_standin::{Script, Step};
+use bergamot_standin::{ScriptedServer, Step};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use std::sync::Arc;
@@ -28,10 +28,10 @@
 const TRIALS: usize = 3;
 
 /// A searcher that closes all its connections and stops listening when it runs the fatal request.
-async fn crashing_searcher(byte: u8) -> Script {
+async fn crashing_searcher(byte: u8) -> ScriptedServer {
     script(move |seen| {
         if seen.body == FATAL {
-            return vec![Step::Wait(Duration::from_millis(2)), Step::End];
+            return vec![Step::Wait(Duration::from_millis(2)), Step::Crash];
         }
         ok(seen, &format!("sig{byte}"), &record(byte))
     })
@@ -39,7 +39,7 @@
 }
 
 /// Starts searchers for each service.
-async fn searchers(services: &[&'static str], replicas: u8) -> Vec<(&'static str, Script)> {
+async fn searchers(services: &[&'static str], replicas: u8) -> Vec<(&'static str, ScriptedServer)> {
     let mut all = Vec::new();
     for (shard, service) in (1..).zip(services) {
         for replica in 0..replicas {
@@ -49,7 +49,7 @@
     all
 }
 
-fn relay_for(searchers: &[(&'static str, Script)], target: Target) -> Arc<Relay> {
+fn relay_for(searchers: &[(&'static str, ScriptedServer)], target: Target) -> Arc<Relay> {
     let upstreams = searchers.iter().enumerate();
     let upstreams =
         upstreams.map(|(at, (service, script))| upstream(&format!("i{at}"), service, script));
@@ -63,8 +63,8 @@
 }
 
 /// Counts the searchers that have ended.
-fn count_ended(searchers: &[(&'static str, Script)]) -> usize {
-    searchers.iter().filter(|(_, script)| script.has_ended()).count()
+fn count_ended(searchers: &[(&'static str, ScriptedServer)]) -> usize {
+    searchers.iter().filter(|(_, script)| script.has_stopped()).count()
 }
 
 /// Repeats the fatal request and returns the cause of its last refusal.
@@ -146,7 +146,7 @@
         panic!("expected a refusal before the verdicts are known");
     };
     assert!(refusal.cause == Cause::NotReady && refusal.retry_after.is_some());
-    assert!(all[0].1.seen().is_empty());
+    assert!(all[0].1.requests().is_empty());
     relay.quarantine().set_synced(true);
     assert!(matches!(relay.handle(request("/q/")).await, Reply::Forwarded(_)));
 }
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -10,7 +10,7 @@
 use bergamot_declaration::Kind;
 use bergamot_registry::Upstream;
 use bergamot_relay::{DelegateMember, Helping, MergedResponse, Relay};
-use bergamot_standin::Script;
+use bergamot_standin::ScriptedServer;
 use bergamot_wire::{Late, QuietPeriod, ShardOutcome, ShardReply};
 use support::{
     gather, incarnation, merged, part, record, relay_with_members, request, route, upstream,
@@ -26,7 +26,12 @@
 
 /// A relay whose shards `a` and `b` have searchers in the west, where a member returns `reply` and
 /// then `late`. Shard `a` also has a searcher in the east.
-fn relay(reply: ShardReply, late: Vec<Late>, west: &Script, east: &Script) -> Arc<Relay> {
+fn relay(
+    reply: ShardReply,
+    late: Vec<Late>,
+    west: &ScriptedServer,
+    east: &ScriptedServer,
+) -> Arc<Relay> {
     let helping = Helping {
         gather: Box::new(move |_, _, _| {
             let reply = reply.clone();
@@ -85,7 +90,7 @@
     let relay = relay(reply, Vec::new(), &west, &east);
     let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
-    assert!(west.seen().iter().all(|seen| seen.header("x-meant") != Some("a-west")));
+    assert!(west.requests().iter().all(|seen| seen.header("x-meant") != Some("a-west")));
 }
 
 #[tokio::test]
@@ -149,7 +154,7 @@
     let reply = ShardReply { shards, records: record(9), left_out: 0, rest: 0, quiet };
     let relay = relay(reply, Vec::new(), &west, &east);
     merged(relay.handle(request("/q/")).await);
-    assert!(east.seen().is_empty());
+    assert!(east.requests().is_empty());
     merged(relay.handle(request("/q/")).await);
-    assert!(east.seen().iter().any(|seen| seen.header("x-meant") == Some("a-east")));
+    assert!(east.requests().iter().any(|seen| seen.header("x-meant") == Some("a-east")));
 }
--- a/crates/relay/tests/many.rs
+++ b/crates/relay/tests/many.rs
@@ -68,7 +68,7 @@
         panic!("expected a refusal with one shard of three");
     };
     assert_eq!(refusal.cause, Cause::NotRun);
-    assert!(a.seen().is_empty());
+    assert!(a.requests().is_empty());
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
     let answer = merged(relay.handle(request("/q/")).await);
     assert_eq!((answer.signatures.len(), answer.missing), (2, 1));
     let cut = async {
-        while slow.gone() == 0 {
+        while slow.closed_connections() == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
--- a/crates/relay/tests/one.rs
+++ b/crates/relay/tests/one.rs
@@ -7,7 +7,7 @@
 use bergamot_declaration::{Kind, Target};
 use bergamot_registry::State;
 use bergamot_relay::{Cause, Refusal, Reply, SearcherResponse};
-use bergamot_standin::{Seen, Step};
+use bergamot_standin::{RecordedRequest, Step};
 use support::{not_run, ok, relay, reply, request, route, script, upstream};
 
 fn forwarded(reply: Reply) -> SearcherResponse {
@@ -36,7 +36,7 @@
     let answer = forwarded(relay.handle(request("/a/b?c=d")).await);
     assert_eq!((&*answer.body, answer.status.as_u16()), (&b"answer"[..], 200));
     assert_eq!(answer.headers["x-signature"], "sig");
-    let seen = one.seen().remove(0);
+    let seen = one.requests().remove(0);
     assert!(seen.head.starts_with("POST /a/b?c=d HTTP/1.1\r\n"), "{}", seen.head);
     assert_eq!((seen.header("x-id"), seen.header("x-meant")), (Some("r1"), Some("i1")));
     let left: u64 =
@@ -61,22 +61,22 @@
     for _ in 0..4 {
         assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"done");
     }
-    assert_eq!(good.seen().len(), 4);
+    assert_eq!(good.requests().len(), 4);
 }
 
 #[tokio::test]
 async fn a_request_that_may_run_once_is_not_sent_again_after_a_reset() {
-    let resetting = |_: &Seen| vec![Step::Reset];
+    let resetting = |_: &RecordedRequest| vec![Step::Reset];
     let (one, two) = (script(resetting).await, script(resetting).await);
     let upstreams = vec![upstream("i1", "s", &one), upstream("i2", "s", &two)];
     let relay = relay(vec![route("/a/", Kind::NonIdempotent, service())], upstreams);
     assert_eq!(refused(relay.handle(request("/a/")).await).cause, Cause::Lost);
-    assert_eq!(one.seen().len() + two.seen().len(), 1);
+    assert_eq!(one.requests().len() + two.requests().len(), 1);
 }
 
 #[tokio::test]
 async fn a_request_that_may_run_again_survives_what_searchers_do_to_its_answer() {
-    type Play = fn(&Seen) -> Vec<Step>;
+    type Play = fn(&RecordedRequest) -> Vec<Step>;
     let faults: [(&str, Play); 6] = [
         ("reset", |_| vec![Step::Reset]),
         ("closed", |_| vec![Step::Close]),
@@ -110,7 +110,7 @@
 
 #[tokio::test]
 async fn a_second_answer_on_a_kept_connection_reaches_nobody() {
-    let twice = |seen: &Seen| {
+    let twice = |seen: &RecordedRequest| {
         let first = reply(seen, "200 OK", "sig", b"right");
         let late = reply(seen, "200 OK", "sig", b"wrong");
         vec![Step::Send(first), Step::Wait(Duration::from_millis(20)), Step::Send(late)]
@@ -128,7 +128,7 @@
 
 #[tokio::test]
 async fn an_answer_without_a_length_ends_with_its_connection() {
-    let unframed = |seen: &Seen| {
+    let unframed = |seen: &RecordedRequest| {
         let id = seen.header("x-id").unwrap_or_default();
         let text = format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: sig\r\n\r\nall of it");
         Step::Send(text.into_bytes())
@@ -148,13 +148,14 @@
     for _ in 0..6 {
         assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"mine");
     }
-    assert!(other.seen().len() <= 1);
+    assert!(other.requests().len() <= 1);
 }
 
 #[tokio::test]
 async fn a_searchers_own_failure_is_passed_on_with_its_status() {
-    let failing =
-        |seen: &Seen| vec![Step::Send(reply(seen, "500 Internal Server Error", "sig", b"no"))];
+    let failing = |seen: &RecordedRequest| {
+        vec![Step::Send(reply(seen, "500 Internal Server Error", "sig", b"no"))]
+    };
     let one = script(failing).await;
     let relay =
         relay(vec![route("/a/", Kind::NonIdempotent, service())], vec![upstream("i1", "s", &one)]);
@@ -183,7 +184,7 @@
     let left = tokio::time::timeout(Duration::from_millis(100), relay.handle(request("/a/")));
     assert!(left.await.is_err(), "expected the caller to time out");
     for _ in 0..100 {
-        if silent.gone() == 1 {
+        if silent.closed_connections() == 1 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -203,5 +204,5 @@
     for _ in 0..6 {
         assert_eq!(&*forwarded(relay.handle(request("/a/")).await).body, b"two");
     }
-    assert!(one.seen().is_empty());
+    assert!(one.requests().is_empty());
 }
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -8,11 +8,11 @@
 use bergamot_declaration::{Kind, Target};
 use bergamot_registry::{Incarnation, Upstream};
 use bergamot_relay::{Cause, Relay, Reply};
-use bergamot_standin::{Script, Seen, Step};
+use bergamot_standin::{RecordedRequest, ScriptedServer, Step};
 use support::{gather, merged, ok, record, relay, request, route, script, upstream};
 
 /// Searcher `i1` of service `s`, started at the given time in milliseconds.
-fn started_at(born: u64, at: &Script) -> Upstream {
+fn started_at(born: u64, at: &ScriptedServer) -> Upstream {
     let incarnation = Incarnation { id: "i1".into(), start_time_ms: Some(born) };
     Upstream { incarnation, ..upstream("i1", "s", at) }
 }
@@ -25,7 +25,7 @@
     relay(vec![route("/a/", kind, Target::Service("s".into()))], upstreams)
 }
 
-async fn answering(body: &'static [u8]) -> Script {
+async fn answering(body: &'static [u8]) -> ScriptedServer {
     script(move |seen| ok(seen, "sig", body)).await
 }
 
@@ -45,7 +45,7 @@
     publish(&relay, started_at(2, &next));
     assert_eq!(body(relay.handle(request("/a/")).await), b"next");
     relay.tick(1, false);
-    assert_eq!(previous.seen().len(), 1);
+    assert_eq!(previous.requests().len(), 1);
 }
 
 /// Observations of the previous start are not applied to the next one.
@@ -65,7 +65,7 @@
     for _ in 0..6 {
         relay.handle(request("/a/")).await;
     }
-    assert!(!next.seen().is_empty(), "the next start is avoided");
+    assert!(!next.requests().is_empty(), "the next start is avoided");
 }
 
 /// The request was sent to the previous start and the connection is reset: whether it ran is
@@ -83,13 +83,13 @@
         Reply::Refused(refusal) => assert_eq!(refusal.cause, Cause::Lost),
         other => panic!("expected a refusal, got {other:?}"),
     }
-    assert!(next.seen().is_empty());
+    assert!(next.requests().is_empty());
 }
 
 /// The previous start answers a request it has begun after the next one is known.
 #[tokio::test]
 async fn an_answer_of_the_former_start_is_passed_on() {
-    let slow = |seen: &Seen| {
+    let slow = |seen: &RecordedRequest| {
         [vec![Step::Wait(Duration::from_millis(80))], ok(seen, "sig", b"former")].concat()
     };
     let (previous, next) = (script(slow).await, answering(b"next").await);
@@ -105,7 +105,7 @@
 /// Another searcher has the address of the previous start, which ends only that start.
 #[tokio::test]
 async fn the_end_of_one_start_is_not_the_end_of_the_next() {
-    let moved = |_: &Seen| {
+    let moved = |_: &RecordedRequest| {
         let text = "HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n";
         vec![Step::Send(text.as_bytes().to_vec())]
     };
@@ -119,7 +119,7 @@
     publish(&relay, started_at(1, &previous));
     let again = relay.handle(request("/a/")).await;
     assert!(matches!(again, Reply::Refused(_)), "{again:?}");
-    assert_eq!(previous.seen().len(), 1);
+    assert_eq!(previous.requests().len(), 1);
     publish(&relay, started_at(2, &next));
     assert_eq!(body(relay.handle(request("/a/")).await), b"next");
 }
@@ -128,7 +128,7 @@
 /// another searcher of the shard.
 #[tokio::test]
 async fn a_shard_may_be_asked_of_the_next_start_after_the_former_failed() {
-    let slow = |_: &Seen| vec![Step::Wait(Duration::from_millis(60)), Step::Reset];
+    let slow = |_: &RecordedRequest| vec![Step::Wait(Duration::from_millis(60)), Step::Reset];
     let (previous, next) = (script(slow).await, script(|seen| ok(seen, "s", &record(7))).await);
     let relay = relay(
         vec![route("/g/", Kind::Idempotent, gather(&["s"], 1.0))],
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -13,7 +13,7 @@
     Dialect, Helping, MergedResponse, Relay, Reply, Request, RequestMetadata, ResponseMetadata,
     Settings,
 };
-use bergamot_standin::{Script, Seen, Step};
+use bergamot_standin::{RecordedRequest, ScriptedServer, Step};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
@@ -41,12 +41,12 @@
 }
 
 /// A successful response with a signature and a body.
-pub fn ok(seen: &Seen, signature: &str, body: &[u8]) -> Vec<Step> {
+pub fn ok(seen: &RecordedRequest, signature: &str, body: &[u8]) -> Vec<Step> {
     vec![Step::Send(reply(seen, "200 OK", signature, body))]
 }
 
 /// The bytes of a response that names the request.
-pub fn reply(seen: &Seen, status: &str, signature: &str, body: &[u8]) -> Vec<u8> {
+pub fn reply(seen: &RecordedRequest, status: &str, signature: &str, body: &[u8]) -> Vec<u8> {
     let id = seen.header("x-id").unwrap_or_default();
     let length = body.len();
     let head = format!(
@@ -67,7 +67,7 @@
 }
 
 /// A ready searcher of a service.
-pub fn upstream(id: &str, service: &str, script: &Script) -> Upstream {
+pub fn upstream(id: &str, service: &str, script: &ScriptedServer) -> Upstream {
     Upstream {
         incarnation: incarnation(id),
         service: service.into(),
@@ -166,8 +166,10 @@
 }
 
 /// A scripted searcher at a free port.
-pub async fn script(play: impl Fn(&Seen) -> Vec<Step> + Send + Sync + 'static) -> Script {
-    Script::start(play).await.expect("no free port")
+pub async fn script(
+    play: impl Fn(&RecordedRequest) -> Vec<Step> + Send + Sync + 'static,
+) -> ScriptedServer {
+    ScriptedServer::start(play).await.expect("no free port")
 }
 
 /// A record consisting of one repeated byte.
@@ -176,7 +178,7 @@
 }
 
 /// A searcher that returns the record of a byte.
-pub async fn part(byte: u8) -> Script {
+pub async fn part(byte: u8) -> ScriptedServer {
     script(move |seen| ok(seen, &format!("sig{byte}"), &record(byte))).await
 }
 
--- a/crates/standin/src/behaviour.rs
+++ b/crates/standin/src/behaviour.rs
@@ -10,7 +10,7 @@
 
 /// The locations of instances and zones, from which the latency between them follows.
 #[derive(Clone, Debug, Default)]
-pub struct Geography {
+pub struct Topology {
     /// The zone of each instance.
     pub zones: HashMap<Ipv4Addr, Name>,
     /// The region of each zone.
@@ -21,7 +21,7 @@
     pub between_regions: Duration,
 }
 
-impl Geography {
+impl Topology {
     /// Returns the one-way latency from an instance to a zone, zero for an unknown instance.
     pub(crate) fn one_way(&self, from: IpAddr, to: &Name) -> Duration {
         let IpAddr::V4(from) = from else {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -12,9 +12,9 @@
 mod script;
 mod searcher;
 
-pub use behaviour::{Effect, Faults, Geography, Limits};
+pub use behaviour::{Effect, Faults, Limits, Topology};
 pub use corpus::Corpus;
-pub use partition_proxy::{Border, Way};
+pub use partition_proxy::{ForwardedPort, PartitionProxy};
 pub use platform::{Counts, Instance, Platform};
-pub use script::{Script, Seen, Step};
+pub use script::{RecordedRequest, ScriptedServer, Step};
 pub use searcher::{Searcher, SearcherSettings};
--- a/crates/standin/src/partition_proxy.rs
+++ b/crates/standin/src/partition_proxy.rs
@@ -23,102 +23,110 @@
 
 /// One forwarded port of an instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct ForwardedPort {
     /// The address of the instance.
     pub ip: Ipv4Addr,
     /// The port on which the proxy listens.
-    pub dialled: u16,
+    pub listen_port: u16,
     /// The port of the instance, to which the proxy forwards.
-    pub listens: u16,
+    pub target_port: u16,
     /// Whether UDP is forwarded in addition to TCP.
-    pub datagrams: bool,
+    pub udp: bool,
 }
 
 /// A proxy between two parts of a fleet. Stops when dropped.
 #[derive(Debug)]
-pub struct Border {
-    cut: watch::Sender<bool>,
+pub struct PartitionProxy {
+    partitioned: watch::Sender<bool>,
     stop: CancellationToken,
 }
 
-impl Border {
+impl PartitionProxy {
     /// Starts forwarding all the given ports.
-    pub async fn open(ways: &[Way]) -> Result<Self, Fault> {
-        let border = Self { cut: watch::Sender::new(false), stop: CancellationToken::new() };
-        for way in ways {
-            let from = SocketAddr::from((way.ip, way.dialled));
-            let to = SocketAddr::from((way.ip, way.listens));
+    pub async fn start(ports: &[ForwardedPort]) -> Result<Self, Fault> {
+        let proxy = Self { partitioned: watch::Sender::new(false), stop: CancellationToken::new() };
+        for port in ports {
+            let from = SocketAddr::from((port.ip, port.listen_port));
+            let to = SocketAddr::from((port.ip, port.target_port));
             let listener = listen(from).await?;
-            let (cut, stop) = (border.cut.subscribe(), border.stop.clone());
+            let (partitioned, stop) = (proxy.partitioned.subscribe(), proxy.stop.clone());
             tokio::spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    () = forward_connections(listener, to, cut) => {}
+                    () = forward_connections(listener, to, partitioned) => {}
                 }
             });
-            if way.datagrams {
+            if port.udp {
                 let socket = UdpSocket::bind(from)
                     .await
                     .map_err(|error| Fault::new("bind partition proxy", from, error))?;
-                let (cut, stop) = (border.cut.subscribe(), border.stop.clone());
+                let (partitioned, stop) = (proxy.partitioned.subscribe(), proxy.stop.clone());
                 tokio::spawn(async move {
                     tokio::select! {
                         () = stop.cancelled() => {}
-                        () = forward_datagrams(socket, to, cut) => {}
+                        () = forward_datagrams(socket, to, partitioned) => {}
                     }
                 });
             }
         }
-        Ok(border)
+        Ok(proxy)
     }
 
     /// Starts or ends a partition.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.send_replace(cut);
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.send_replace(partitioned);
     }
 }
 
-impl Drop for Border {
+impl Drop for PartitionProxy {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
-async fn forward_datagrams(socket: UdpSocket, to: SocketAddr, cut: watch::Receiver<bool>) {
+async fn forward_datagrams(socket: UdpSocket, to: SocketAddr, partitioned: watch::Receiver<bool>) {
     let mut buffer = vec![0; MAX_DATAGRAM_LEN];
     while let Ok((length, _)) = socket.recv_from(&mut buffer).await {
-        if !*cut.borrow() {
+        if !*partitioned.borrow() {
             // UDP delivery is not guaranteed, so an error here counts as a lost datagram.
             let _ = socket.send_to(&buffer[..length], to).await;
         }
     }
 }
 
-async fn forward_connections(listener: TcpListener, to: SocketAddr, cut: watch::Receiver<bool>) {
+async fn forward_connections(
+    listener: TcpListener,
+    to: SocketAddr,
+    partitioned: watch::Receiver<bool>,
+) {
     while let Ok((client, _)) = listener.accept().await {
-        let mut cut = cut.clone();
+        let mut partitioned = partitioned.clone();
         tokio::spawn(async move {
-            if cut.wait_for(|cut| !cut).await.is_err() {
+            if partitioned.wait_for(|partitioned| !partitioned).await.is_err() {
                 return;
             }
             let Ok(server) = TcpStream::connect(to).await else { return };
             let (client_read, client_write) = client.into_split();
             let (server_read, server_write) = server.into_split();
             tokio::join!(
-                forward(client_read, server_write, cut.clone()),
-                forward(server_read, client_write, cut.clone()),
+                forward(client_read, server_write, partitioned.clone()),
+                forward(server_read, client_write, partitioned.clone()),
             );
         });
     }
 }
 
 /// Forwards one direction of a connection until it ends; stalls during a partition.
-async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut cut: watch::Receiver<bool>) {
+async fn forward(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut partitioned: watch::Receiver<bool>,
+) {
     let mut buffer = vec![0; BUFFER_SIZE];
     loop {
         let Ok(length) = from.read(&mut buffer).await else { return };
         // The sender of the watch is dropped only together with the proxy.
-        if cut.wait_for(|cut| !cut).await.is_err() {
+        if partitioned.wait_for(|partitioned| !partitioned).await.is_err() {
             return;
         }
         if length == 0 {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -89,7 +89,7 @@
     }
 
     /// Replaces the instance list.
-    pub fn list(&self, instances: Vec<Instance>) {
+    pub fn set_instances(&self, instances: Vec<Instance>) {
         *lock(&self.inner.instances) = instances;
     }
 
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -29,23 +29,23 @@
     /// Sends nothing more, but keeps the connection open until the peer closes it.
     Hang,
     /// Stops the server and closes all its connections, as a crash of its process does.
-    End,
+    Crash,
 }
 
 /// A recorded request.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RecordedRequest {
     /// The index of its connection.
     pub connection: usize,
     /// The index of the request on its connection.
-    pub turn: usize,
+    pub index: usize,
     /// The request line and the headers.
     pub head: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl RecordedRequest {
     /// Returns the value of a header. The name is compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|line| line.split_once(':'));
@@ -54,39 +54,39 @@
     }
 }
 
-type Handler = dyn Fn(&Seen) -> Vec<Step> + Send + Sync;
+type Handler = dyn Fn(&RecordedRequest) -> Vec<Step> + Send + Sync;
 
 /// A running scripted server. Stops when dropped.
-pub struct Script {
+pub struct ScriptedServer {
     address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    requests: Arc<Mutex<Vec<RecordedRequest>>>,
     closed_connections: Arc<Mutex<usize>>,
     stop: CancellationToken,
     /// Cancelled after the listener is closed, to close the connections.
     closed: CancellationToken,
 }
 
-impl std::fmt::Debug for Script {
+impl std::fmt::Debug for ScriptedServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Script({})", self.address)
+        write!(f, "ScriptedServer({})", self.address)
     }
 }
 
-impl Script {
+impl ScriptedServer {
     /// Starts a server on a free loopback port. `handler` returns the steps for each request.
     pub async fn start(
-        handler: impl Fn(&Seen) -> Vec<Step> + Send + Sync + 'static,
+        handler: impl Fn(&RecordedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Result<Self, Fault> {
         let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
         let address =
             listener.local_addr().map_err(|error| Fault::new("listen", unknown, error))?;
-        let (seen, closed_connections) = (Arc::default(), Arc::default());
+        let (requests, closed_connections) = (Arc::default(), Arc::default());
         let (stop, closed) = (CancellationToken::new(), CancellationToken::new());
-        let script = Self { address, seen, closed_connections, stop, closed };
+        let script = Self { address, requests, closed_connections, stop, closed };
         let handler: Arc<Handler> = Arc::new(handler);
-        let (seen, closed_count) =
-            (Arc::clone(&script.seen), Arc::clone(&script.closed_connections));
+        let (requests, closed_count) =
+            (Arc::clone(&script.requests), Arc::clone(&script.closed_connections));
         let (stop, closed) = (script.stop.clone(), script.closed.clone());
         tokio::spawn(async move {
             let mut connection = 0;
@@ -101,14 +101,14 @@
                     accepted = listener.accept() => accepted,
                 };
                 let Ok((stream, _)) = accepted else { continue };
-                let (handler, seen, closed_count) =
-                    (Arc::clone(&handler), Arc::clone(&seen), Arc::clone(&closed_count));
+                let (handler, requests, closed_count) =
+                    (Arc::clone(&handler), Arc::clone(&requests), Arc::clone(&closed_count));
                 let (stop, closed) = (stop.clone(), closed.clone());
                 tokio::spawn(async move {
                     tokio::select! {
                         () = closed.cancelled() => {}
                         // The connection is closed, no matter with which result.
-                        _ = serve_connection(stream, connection, &handler, (&seen, &stop)) => {}
+                        _ = serve_connection(stream, connection, &handler, (&requests, &stop)) => {}
                     }
                     *closed_count.lock().unwrap_or_else(PoisonError::into_inner) += 1;
                 });
@@ -124,22 +124,22 @@
     }
 
     /// Returns the requests received so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn requests(&self) -> Vec<RecordedRequest> {
+        self.requests.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Returns whether a step of the script has stopped the server.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         self.closed.is_cancelled()
     }
 
     /// Returns how many connections have closed.
-    pub fn gone(&self) -> usize {
+    pub fn closed_connections(&self) -> usize {
         *self.closed_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for Script {
+impl Drop for ScriptedServer {
     fn drop(&mut self) {
         self.stop.cancel();
     }
@@ -149,15 +149,15 @@
     stream: TcpStream,
     connection: usize,
     handler: &Arc<Handler>,
-    (seen, stop): (&Arc<Mutex<Vec<Seen>>>, &CancellationToken),
+    (requests, stop): (&Arc<Mutex<Vec<RecordedRequest>>>, &CancellationToken),
 ) -> io::Result<()> {
     let mut stream = BufReader::new(stream);
-    for turn in 0.. {
+    for index in 0.. {
         let Some((head, body)) = read_request(&mut stream).await? else {
             return Ok(());
         };
-        let request = Seen { connection, turn, head, body };
-        seen.lock().unwrap_or_else(PoisonError::into_inner).push(request.clone());
+        let request = RecordedRequest { connection, index, head, body };
+        requests.lock().unwrap_or_else(PoisonError::into_inner).push(request.clone());
         for step in handler(&request) {
             match step {
                 Step::Wait(time) => tokio::time::sleep(time).await,
@@ -172,7 +172,7 @@
                     stream.read_to_end(&mut rest).await?;
                     return Ok(());
                 }
-                Step::End => {
+                Step::Crash => {
                     stop.cancel();
                     // The connection is closed with all others after the listener.
                     std::future::pending::<()>().await;
--- a/crates/standin/src/searcher.rs
+++ b/crates/standin/src/searcher.rs
@@ -21,7 +21,7 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-use crate::behaviour::{Effect, Faults, Geography, Limits};
+use crate::behaviour::{Effect, Faults, Limits, Topology};
 use crate::corpus::Corpus;
 
 /// The maximum size of a request body.
@@ -47,7 +47,7 @@
     /// The seed for its service times and injected faults.
     pub seed: Seed,
     /// The locations of instances, for the latency to them.
-    pub geography: Arc<Geography>,
+    pub topology: Arc<Topology>,
 }
 
 #[derive(Debug)]
@@ -135,8 +135,8 @@
     }
 
     /// Prepends the effects of an earlier run at this address to those of this one.
-    pub fn remember(&self, before: Vec<Effect>) {
-        self.0.lock().effects.splice(..0, before);
+    pub fn prepend_effects(&self, earlier: Vec<Effect>) {
+        self.0.lock().effects.splice(..0, earlier);
     }
 
     /// Returns when the last sub-query arrived, if any did.
@@ -150,7 +150,7 @@
     }
 
     /// Simulates a cold start: for the given time, requests take three times as long.
-    pub fn chill(&self, time: Duration) {
+    pub fn simulate_cold_start(&self, time: Duration) {
         self.0.lock().cold_until = Some(Instant::now() + time);
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Returns whether the searcher has stopped.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         self.0.stop.is_cancelled()
     }
 
@@ -234,7 +234,7 @@
     // Without TCP_NODELAY the connection is slower but still works.
     let _ = stream.set_nodelay(true);
     sleep(inner.settings.limits.connect_cost).await;
-    let one_way = inner.settings.geography.one_way(peer.ip(), &inner.settings.zone);
+    let one_way = inner.settings.topology.one_way(peer.ip(), &inner.settings.zone);
     let service = service_fn(move |request| {
         let inner = Arc::clone(inner);
         async move {
--- a/daemons/tests/faults.rs
+++ b/daemons/tests/faults.rs
@@ -10,7 +10,7 @@
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::history::{Ending, History};
 use bergamot_bench::load::{self, Load};
-use bergamot_standin::{Border, Faults, Platform, Way};
+use bergamot_standin::{Faults, ForwardedPort, PartitionProxy, Platform};
 use bergamot_wire::{Channels, EntryClient};
 use bergamot_write::Status;
 use support::{Bed, Daemon, ENTRY, ENTRY_PORT, get, post, serves, until};
@@ -198,14 +198,14 @@
     [(400, false), (401, false), (402, true), (411, false), (412, true)];
 
 /// Opens the border between instances 0 and 1, and 2 and 3.
-async fn border(deployment: &Deployment) -> Border {
-    let way = |number: usize, (port, datagrams): (u16, bool)| {
-        let (dialled, listens) = if number < 2 { (8000, 7000) } else { (7000, 8000) };
+async fn border(deployment: &Deployment) -> PartitionProxy {
+    let way = |number: usize, (port, udp): (u16, bool)| {
+        let (listen_base, target_base) = if number < 2 { (8000, 7000) } else { (7000, 8000) };
         let ip = deployment.instance(number);
-        Way { ip, dialled: dialled + port, listens: listens + port, datagrams }
+        ForwardedPort { ip, listen_port: listen_base + port, target_port: target_base + port, udp }
     };
     let ways: Vec<_> = (0..4).flat_map(|number| PASSED.map(|passed| way(number, passed))).collect();
-    Border::open(&ways).await.expect("the block is this test's own")
+    PartitionProxy::start(&ways).await.expect("the block is this test's own")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -217,7 +217,7 @@
         ["127.51.7.3:7300", "127.51.7.3:7301"].map(|address| address.parse().expect("an address"));
     let behind = Platform::start(far[0], far[1]).await.expect("the block is this test's own");
     behind.publish(&deployment.document(1));
-    behind.list(deployment.list(0..4));
+    behind.set_instances(deployment.list(0..4));
     let mut bed = Bed::start(deployment, 4, QUICK).await;
     for number in 0..2 {
         bed.add(number).await;
@@ -233,7 +233,7 @@
     let key = format!("{}-order", prefix["write_prefix"].as_str().expect("a prefix"));
     let headers = [("idempotency-key", key.as_str())];
 
-    border.set_cut(true);
+    border.set_partitioned(true);
     bed.stand_ins.platform.publish(&bed.stand_ins.deployment.document(9));
     until("the first part has revision 9", || async move {
         post(near, QUEUE, &[], SCAN).await.1["revision"] == 9
@@ -254,7 +254,7 @@
     let (_, done) = post(near, LEDGER, &headers, ENTRY_BODY).await;
     assert_eq!(done["outcome"], "done", "{done}");
 
-    border.set_cut(false);
+    border.set_partitioned(false);
     until("the second part has revision 9", || async move {
         post(other, QUEUE, &[], SCAN).await.1["revision"] == 9
     })
--- a/daemons/tests/support/mod.rs
+++ b/daemons/tests/support/mod.rs
@@ -95,7 +95,7 @@
         let stand_ins = Cluster::start_stand_ins(deployment, Settings::default(), &[1])
             .await
             .expect("the block of addresses is this test's own");
-        stand_ins.platform.list(stand_ins.deployment.list(0..listed));
+        stand_ins.platform.set_instances(stand_ins.deployment.list(0..listed));
         Self { stand_ins, instances: Vec::new(), folder, extra: extra.to_owned() }
     }
 
