--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -1,23 +1,23 @@
-//! What a run of the model is made of.
+//! The parameters of a simulation run.
 
 use std::time::Duration;
 
 use bergamot_policy::Policy;
 
-/// The gathered requests of one route.
+/// The gathered requests of one route, which arrive as a Poisson process.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// The name, for the report.
+    /// The name of the route in the report.
     pub name: &'static str,
-    /// How many requests come a second, over all members.
-    pub per_s: f64,
-    /// The mean work of a searcher of ordinary speed.
+    /// The request rate over all members, per second.
+    pub rate_per_s: f64,
+    /// The mean service time of a searcher with a speed of 1.
     pub work: Duration,
-    /// The time within which an answer is of full use.
+    /// The target latency: later responses count as late.
     pub target: Duration,
-    /// How long a caller waits.
+    /// The time after which a request fails.
     pub deadline: Duration,
-    /// The least share of the shards that makes an answer a success.
+    /// The minimum share of the shards in a successful response.
     pub coverage: f64,
 }
 
@@ -26,81 +26,82 @@
 pub enum Pauses {
     /// Never.
     Never,
-    /// Each at its own phase, once in each period.
+    /// Once per period, at a phase that differs between searchers.
     Recurring {
         /// The time from one pause to the next.
         every: Duration,
         /// How long a pause lasts.
         length: Duration,
     },
-    /// At moments that are drawn, so often on average.
+    /// At random times.
     Random {
-        /// The mean time from one pause to the next.
+        /// The mean time from the end of one pause to the start of the next.
         every: Duration,
         /// How long a pause lasts.
         length: Duration,
     },
 }
 
-/// A part of the searchers refuses every connection for a while.
+/// A crash of some searchers, which refuse every connection until they recover.
 #[derive(Clone, Copy, Debug)]
 pub struct Crash {
-    /// How many searchers in a hundred.
+    /// The percentage of the searchers that crash.
     pub percent: usize,
-    /// When, from the start of the run.
+    /// When they crash, from the start of the run.
     pub at: Duration,
-    /// For how long.
-    pub lasts: Duration,
+    /// How long they refuse connections.
+    pub duration: Duration,
 }
 
-/// A run of the model.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The seed of everything that is drawn.
+    /// The seed of all random values.
     pub seed: u64,
-    /// How long requests come.
-    pub lasts: Duration,
-    /// From when on requests count in the report, so that what must be learned first can be
-    /// looked at by itself.
-    pub counts_from: Duration,
-    /// How many members share the requests evenly.
+    /// For how long requests arrive.
+    pub duration: Duration,
+    /// When measurement starts: requests that arrive earlier are left out of the report, so that
+    /// the learning phase can be excluded.
+    pub measure_from: Duration,
+    /// The number of members; requests are distributed evenly over them.
     pub members: usize,
     /// How many shards the index has.
     pub shards: usize,
-    /// How many searchers hold each shard.
+    /// How many searchers serve each shard.
     pub replicas: usize,
-    /// How many requests a searcher works on at once.
+    /// How many requests a searcher processes concurrently.
     pub slots: usize,
-    /// How many requests a searcher queues before it refuses more.
-    pub queue: usize,
-    /// The factors by which searchers are slower, given out in turn.
-    pub speeds: Vec<f64>,
+    /// How many requests a searcher queues before it rejects more.
+    pub queue_capacity: usize,
+    /// Factors on the service time, assigned to the searchers in turn; above 1 is slower.
+    pub service_time_factors: Vec<f64>,
     /// How searchers pause.
     pub pauses: Pauses,
-    /// One way between a member and a searcher of its own region.
-    pub near: Duration,
-    /// One way between a member and a searcher of another region.
-    pub far: Duration,
-    /// How many regions there are; members and searchers are spread over them evenly.
+    /// The one-way latency between a member and a searcher of the same region.
+    pub intra_region_latency: Duration,
+    /// The one-way latency between a member and a searcher of another region.
+    pub inter_region_latency: Duration,
+    /// The number of regions; members and searchers are distributed evenly over them.
     pub regions: usize,
     /// The routes.
     pub streams: Vec<Stream>,
-    /// The searchers that crash.
+    /// The crash to simulate, if any.
     pub crash: Option<Crash>,
-    /// When all members lose what they know, as at a loss of power.
-    pub forgets: Option<Duration>,
-    /// The mechanisms of the decisions.
+    /// When all members lose their state, as after a power failure.
+    pub state_loss_at: Option<Duration>,
+    /// The settings of the dispatch logic.
     pub policy: Policy,
 }
 
 impl Default for Load {
-    /// The search of returned mail: 20 shards of 2 searchers in two of three regions, 90 gathered
-    /// requests a second, three in four with 20 ms of work, one with 6.7 ms and half the time.
+    /// The workload of the returned-mail search: 20 shards of 2 searchers in two of three regions,
+    /// 90 gathered requests per second. Three quarters take 20 ms of work; the others take 6.7 ms
+    /// and have half the target latency and deadline.
     fn default() -> Self {
         let ms = Duration::from_millis;
         let broad = Stream {
             name: "broad",
-            per_s: 67.5,
+            rate_per_s: 67.5,
             work: ms(20),
             target: ms(200),
             deadline: ms(3000),
@@ -108,7 +109,7 @@
         };
         let strict = Stream {
             name: "strict",
-            per_s: 22.5,
+            rate_per_s: 22.5,
             work: Duration::from_micros(6700),
             target: ms(100),
             deadline: ms(1500),
@@ -116,21 +117,21 @@
         };
         Self {
             seed: 1,
-            lasts: Duration::from_secs(30),
-            counts_from: Duration::ZERO,
+            duration: Duration::from_secs(30),
+            measure_from: Duration::ZERO,
             members: 6,
             shards: 20,
             replicas: 2,
             slots: 2,
-            queue: 12,
-            speeds: vec![0.8, 1.0, 1.3],
+            queue_capacity: 12,
+            service_time_factors: vec![0.8, 1.0, 1.3],
             pauses: Pauses::Recurring { every: ms(6000), length: ms(250) },
-            near: Duration::from_micros(500),
-            far: ms(8),
+            intra_region_latency: Duration::from_micros(500),
+            inter_region_latency: ms(8),
             regions: 3,
             streams: vec![broad, strict],
             crash: None,
-            forgets: None,
+            state_loss_at: None,
             policy: Policy::default(),
         }
     }
--- a/daemons/tests/faults.rs
+++ b/daemons/tests/faults.rs
@@ -10,7 +10,7 @@
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::history::{Ending, History};
 use bergamot_bench::load::{self, Load};
-use bergamot_standin::{Border, Faults, Platform, Way};
+use bergamot_standin::{Faults, ForwardedPort, PartitionProxy, Platform};
 use bergamot_wire::{Channels, EntryClient};
 use bergamot_write::Status;
 use support::{DaemonProcess, ENTRY, ENTRY_PORT, Testbed, get, post, until, wait_until_serving};
@@ -208,15 +208,15 @@
     [(400, false), (401, false), (402, true), (411, false), (412, true)];
 
 /// Opens the border between instances 0 and 1 on one side and 2 and 3 on the other.
-async fn open_border(deployment: &Deployment) -> Border {
-    let way = |number: usize, (port, datagrams): (u16, bool)| {
-        let (dialled, listens) = if number < 2 { (8000, 7000) } else { (7000, 8000) };
+async fn open_border(deployment: &Deployment) -> PartitionProxy {
+    let way = |number: usize, (port, udp): (u16, bool)| {
+        let (listen_base, target_base) = if number < 2 { (8000, 7000) } else { (7000, 8000) };
         let ip = deployment.instance(number);
-        Way { ip, dialled: dialled + port, listens: listens + port, datagrams }
+        ForwardedPort { ip, listen_port: listen_base + port, target_port: target_base + port, udp }
     };
     let ways: Vec<_> =
         (0..4).flat_map(|number| FORWARDED_PORTS.map(|port| way(number, port))).collect();
-    Border::open(&ways).await.expect("no other test uses the block of addresses")
+    PartitionProxy::start(&ways).await.expect("no other test uses the block of addresses")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -230,7 +230,7 @@
         .await
         .expect("no second_entry test uses the block of addresses");
     lagging_platform.publish(&deployment.document(1));
-    lagging_platform.list(deployment.list(0..4));
+    lagging_platform.set_instances(deployment.list(0..4));
     let mut testbed = Testbed::start(deployment, 4, SHORT_INTERVALS).await;
     for number in 0..2 {
         testbed.add(number).await;
@@ -246,7 +246,7 @@
     let key = format!("{}-order", prefix["write_prefix"].as_str().expect("a prefix"));
     let headers = [("idempotency-key", key.as_str())];
 
-    border.set_cut(true);
+    border.set_partitioned(true);
     testbed.stand_ins.platform.publish(&testbed.stand_ins.deployment.document(9));
     until("the first part has revision 9", || async move {
         post(first_entry, QUEUE, &[], SCAN).await.1["revision"] == 9
@@ -273,7 +273,7 @@
     let (_, done) = post(first_entry, LEDGER, &headers, WRITE_BODY).await;
     assert_eq!(done["outcome"], "done", "{done}");
 
-    border.set_cut(false);
+    border.set_partitioned(false);
     until("the second part has revision 9", || async move {
         post(second_entry, QUEUE, &[], SCAN).await.1["revision"] == 9
     })
--- a/daemons/tests/support/mod.rs
+++ b/daemons/tests/support/mod.rs
@@ -95,7 +95,7 @@
         let stand_ins = Cluster::start_stand_ins(deployment, Settings::default(), &[1])
             .await
             .expect("no other test uses the block of addresses");
-        stand_ins.platform.list(stand_ins.deployment.list(0..listed));
+        stand_ins.platform.set_instances(stand_ins.deployment.list(0..listed));
         Self {
             stand_ins,
             instances: Vec::new(),
