--- a/crates/bench/src/capacity/control.rs
+++ b/crates/bench/src/capacity/control.rs
@@ -163,11 +163,11 @@
     /// Datagrams and bytes sent, pulls begun and bytes pulled, over all nodes.
     fn sums(&self) -> [f64; 4] {
         let mut sums = [0.0; 4];
-        for meter in self.nodes.iter().map(|node| node.meter()) {
-            sums[0] += meter.datagrams.with_label_values(&["out"]).get() as f64;
-            sums[1] += meter.datagram_bytes.with_label_values(&["out"]).get() as f64;
-            sums[2] += meter.pulls.with_label_values(&["done"]).get() as f64;
-            sums[3] += meter.pull_bytes.get() as f64;
+        for metrics in self.nodes.iter().map(|node| node.metrics()) {
+            sums[0] += metrics.datagrams.with_label_values(&["out"]).get() as f64;
+            sums[1] += metrics.datagram_bytes.with_label_values(&["out"]).get() as f64;
+            sums[2] += metrics.pulls.with_label_values(&["done"]).get() as f64;
+            sums[3] += metrics.pull_bytes.get() as f64;
         }
         sums
     }
@@ -175,7 +175,7 @@
     /// Waits until the news of the start has died down.
     fn settle(&self) {
         let end = Instant::now() + LONGEST_SETTLE;
-        while Instant::now() < end && self.nodes.iter().any(|node| node.rumours() > 0) {
+        while Instant::now() < end && self.nodes.iter().any(|node| node.rumour_count() > 0) {
             std::thread::sleep(Duration::from_millis(500));
         }
     }
@@ -189,8 +189,9 @@
                 let node = Arc::clone(node);
                 self.members.spawn(async move {
                     let mut changes = node.changes();
-                    let has =
-                        || node.current().is_some_and(|now| now.document.revision >= revision);
+                    let has = || {
+                        node.active_document().is_some_and(|now| now.document.revision >= revision)
+                    };
                     while !has() {
                         let changed = tokio::time::timeout(LONGEST, changes.changed()).await;
                         if changed.is_err() {
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -19,7 +19,9 @@
 
 fn revisions(cluster: &Cluster) -> Vec<u64> {
     let nodes = cluster.instances.values().flat_map(|i| [i.entry.node(), i.gather.node()]);
-    nodes.map(|node| node.current().map_or(0, |current| current.document.revision)).collect()
+    nodes
+        .map(|node| node.active_document().map_or(0, |current| current.document.revision))
+        .collect()
 }
 
 async fn all_have(cluster: &Cluster, revision: u64) {
@@ -186,13 +188,13 @@
     all_have(&cluster, 3).await;
     let hashes = |cluster: &Cluster| -> Vec<u64> {
         let nodes = cluster.instances.values().flat_map(|i| [i.entry.node(), i.gather.node()]);
-        nodes.filter_map(|node| Some(node.current()?.document.hash)).collect()
+        nodes.filter_map(|node| Some(node.active_document()?.document.hash)).collect()
     };
     let before = hashes(&cluster);
     cluster.platform.publish(&first.replace("\"deadline_ms\":150", "\"deadline_ms\":151"));
     until("some daemon has noticed", || async {
         let mut nodes = cluster.instances.values().map(|instance| instance.entry.node());
-        nodes.any(|node| node.meter().clashes.get() > 0)
+        nodes.any(|node| node.metrics().clashes.get() > 0)
     })
     .await;
     assert_eq!(hashes(&cluster), before, "what is in force stays");
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -7,7 +7,7 @@
 use bergamot_config::row::Preference;
 use bergamot_members::{Answer as Addresses, addresses};
 use bergamot_net::{Body, json};
-use bergamot_node::Current;
+use bergamot_node::ActiveDocument;
 use bergamot_query::Shape;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -257,21 +257,21 @@
     Ok((label, answer.response(current.document.revision)))
 }
 
-fn current(inner: &Inner) -> Result<Arc<Current>, Refused> {
-    inner.node.current().ok_or_else(|| {
+fn current(inner: &Inner) -> Result<Arc<ActiveDocument>, Refused> {
+    inner.node.active_document().ok_or_else(|| {
         Refused::later("start", "here", "no document is in force yet", CATCH_UP_RETRY)
     })
 }
 
 async fn awake(inner: &Inner) -> Result<(), Refused> {
-    if inner.node.awake().await {
+    if inner.node.wait_until_awake().await {
         return Ok(());
     }
     Err(Refused::later("wake", "here", "the entry slept and catches up", CATCH_UP_RETRY))
 }
 
 fn find_services(
-    current: &Current,
+    current: &ActiveDocument,
     workspace: &Name,
     names: &[Name],
 ) -> Result<Vec<Service>, Refused> {
--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 
 use bergamot_base::{Cell, Service, Shard, Version};
-use bergamot_node::Current;
+use bergamot_node::ActiveDocument;
 use bergamot_query::{Merge, Pin, Shape};
 
 /// The plan of a query on one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    pub(crate) current: Arc<Current>,
+    pub(crate) current: Arc<ActiveDocument>,
     pub(crate) service: Service,
     pub(crate) pin: Pin,
     pub(crate) shape: Shape,
@@ -20,7 +20,7 @@
 impl Plan {
     /// Plans a query for a version of the index.
     pub(crate) fn new(
-        current: Arc<Current>,
+        current: Arc<ActiveDocument>,
         service: Service,
         shape: Shape,
         version: Version,
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -11,7 +11,7 @@
 
 use bergamot_base::{Budget, Cell, Deadline, Name, Service, Shard, Version};
 use bergamot_members::{Endpoint, Role};
-use bergamot_node::{Current, Node};
+use bergamot_node::{ActiveDocument, Node};
 use bergamot_query::{Catalog, Coverage, Hit, Merge, Outcome, Reason, Shape};
 use bergamot_wire::{Channels, GatherClient, Refusal, Reply, SubQuery, context};
 use futures::StreamExt;
@@ -89,7 +89,7 @@
     /// Runs a query to its end, which is before its deadline.
     ///
     /// Returns nothing where no version of the service is known: nothing can be asked.
-    pub(crate) async fn run(&self, query: &Query, current: Arc<Current>) -> Option<Found> {
+    pub(crate) async fn run(&self, query: &Query, current: Arc<ActiveDocument>) -> Option<Found> {
         let mut current = current;
         let mut service = query.service;
         let mut attempts = 0;
@@ -132,16 +132,25 @@
     }
 
     /// Finds a service of one document in the document that is in force now.
-    fn relocate(&self, before: &Current, service: Service) -> Option<(Arc<Current>, Service)> {
+    fn relocate(
+        &self,
+        before: &ActiveDocument,
+        service: Service,
+    ) -> Option<(Arc<ActiveDocument>, Service)> {
         let row = &before.document.services[service];
         let workspace = &before.document.workspaces[row.workspace].name;
-        let current = self.node.current()?;
+        let current = self.node.active_document()?;
         let found = current.document.service(workspace, &row.name)?;
         Some((current, found))
     }
 
     /// Returns the version to pin, asking the gathers where none is known yet.
-    async fn version(&self, query: &Query, service: Service, current: &Current) -> Option<Version> {
+    async fn version(
+        &self,
+        query: &Query,
+        service: Service,
+        current: &ActiveDocument,
+    ) -> Option<Version> {
         let shards = query.shape.shards(&current.document.services[service]);
         if let Some(version) = self.known(current, &shards) {
             return Some(version);
@@ -157,7 +166,7 @@
         None
     }
 
-    fn known(&self, current: &Current, shards: &[Shard]) -> Option<Version> {
+    fn known(&self, current: &ActiveDocument, shards: &[Shard]) -> Option<Version> {
         let mut catalog = lock(&self.catalog);
         if catalog.0 != current.document.hash {
             *catalog = (current.document.hash, Catalog::default());
@@ -165,7 +174,7 @@
         catalog.1.best_version(shards)
     }
 
-    fn learn(&self, current: &Current, versions: Vec<(Shard, Vec<Version>)>) {
+    fn learn(&self, current: &ActiveDocument, versions: Vec<(Shard, Vec<Version>)>) {
         let mut catalog = lock(&self.catalog);
         if catalog.0 == current.document.hash {
             for (shard, held) in versions.into_iter().filter(|(_, held)| !held.is_empty()) {
@@ -175,7 +184,7 @@
     }
 
     /// Asks a home of each of the service's cells for the versions that it can serve.
-    async fn look(&self, current: &Current, service: Service, deadline: Deadline) {
+    async fn look(&self, current: &ActiveDocument, service: Service, deadline: Deadline) {
         let document = &current.document;
         let homes = self.node.homes();
         let mut cells: Vec<Cell> = document.services[service]
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -117,7 +117,7 @@
         let node = &self.inner.node;
         let settings = &node.settings().entry;
         let start = Instant::now();
-        node.leave(State::Leaving).await;
+        node.announce_departure(State::Leaving).await;
         self.inner.draining.store(true, Ordering::Relaxed);
         let until = start + settings.address_ttl + SETTLE;
         tokio::time::sleep_until(until.into()).await;
@@ -130,7 +130,7 @@
         if tokio::time::timeout(settings.drain, finished).await.is_err() {
             log::warn!("entry: Requests were still in flight after {:?}.", settings.drain);
         }
-        node.leave(State::Left).await;
+        node.announce_departure(State::Left).await;
         node.close();
         log::info!("entry: Stopped.");
     }
@@ -168,7 +168,7 @@
     let part = |title, dump: fn(&Inner) -> String| {
         let this = Arc::downgrade(inner);
         let text = move || this.upgrade().map_or_else(String::new, |inner| dump(&inner));
-        inner.node.add_dump(title, Box::new(text));
+        inner.node.add_dump_section(title, Box::new(text));
     };
     part("admission", |inner| inner.door.dump());
     part("writes", |inner| inner.writer.dump());
--- a/crates/entry/src/write.rs
+++ b/crates/entry/src/write.rs
@@ -151,10 +151,10 @@
 
     /// Sends a write to a home of its shard. Only a refusal is followed by another home.
     async fn send(&self, key: &Key, order: &Order) -> Outcome {
-        if !self.node.awake().await {
+        if !self.node.wait_until_awake().await {
             return Outcome::not_run("this entry slept and has not caught up");
         }
-        let Some(current) = self.node.current() else {
+        let Some(current) = self.node.active_document() else {
             return Outcome::not_run("no document is in force");
         };
         let document = &current.document;
--- a/crates/gather/src/holding.rs
+++ b/crates/gather/src/holding.rs
@@ -6,13 +6,13 @@
 use bergamot_base::{Cell, Searcher, Shard, Version};
 use bergamot_config::Settings;
 use bergamot_members::{Endpoint, Homes};
-use bergamot_node::Current;
+use bergamot_node::ActiveDocument;
 use bergamot_upstream::{Client, ClientSet};
 
 /// What a gather holds under one document.
 #[derive(Clone, Debug)]
 pub(crate) struct Holding {
-    pub(crate) current: Arc<Current>,
+    pub(crate) current: Arc<ActiveDocument>,
     pub(crate) cells: BTreeSet<Cell>,
     pub(crate) fleet: ClientSet,
 }
@@ -21,7 +21,7 @@
     /// Makes the holding for a document and its homes, keeping the clients held before.
     pub(crate) fn next(
         before: Option<&Self>,
-        current: Arc<Current>,
+        current: Arc<ActiveDocument>,
         homes: &Homes,
         me: Endpoint,
         settings: &Settings,
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -61,15 +61,16 @@
 
     /// Takes in a change of the document or the homes.
     pub(crate) fn refresh(&self) {
-        let Some(current) = self.node.current() else {
+        let Some(current) = self.node.active_document() else {
             return;
         };
         let before = self.holding();
         let homes = self.node.homes();
         let settings = self.node.settings();
-        let next = Holding::next(before.as_deref(), current, &homes, self.node.me(), settings);
+        let next =
+            Holding::next(before.as_deref(), current, &homes, self.node.endpoint(), settings);
         // Searchers that are held from now on may have been reported before.
-        for (searcher, run) in self.node.leaving() {
+        for (searcher, run) in self.node.leaving_searchers() {
             if let Some(client) = next.fleet.client_at(searcher) {
                 client.health().record_leaving_notice(Some(&run));
             }
@@ -79,7 +80,7 @@
 
     /// Returns the holding for a revision, or refuses.
     async fn hold(&self, revision: Revision, deadline: Deadline) -> Result<Arc<Holding>, Refusal> {
-        if !self.node.awake().await {
+        if !self.node.wait_until_awake().await {
             return Err(Refusal::Asleep);
         }
         let bound = deadline.left(Instant::now()) / 2;
@@ -126,7 +127,7 @@
         inner.refresh();
         add_dumps(&inner);
         let this = Arc::downgrade(&inner);
-        inner.node.on_leaving(Box::new(move |searcher, run| {
+        inner.node.set_leaving_handler(Box::new(move |searcher, run| {
             if let Some(inner) = this.upgrade() {
                 keeper::told_leaving(&inner, searcher, run);
             }
@@ -167,7 +168,7 @@
     /// nothing is in flight, then closes.
     pub async fn stop(self) {
         let node = &self.inner.node;
-        node.leave(State::Leaving).await;
+        node.announce_departure(State::Leaving).await;
         let start = Instant::now();
         let longest = node.settings().entry.drain;
         let mut served = self.inner.served.load(Ordering::Relaxed);
@@ -184,7 +185,7 @@
         self.stop.cancel();
         // A panic in a handler has been reported already.
         let _ = self.served.await;
-        node.leave(State::Left).await;
+        node.announce_departure(State::Left).await;
         node.close();
         log::info!("gather: Stopped.");
     }
@@ -196,7 +197,7 @@
     let part = |title, dump: fn(&Inner) -> String| {
         let this = Arc::downgrade(inner);
         let text = move || this.upgrade().map_or_else(String::new, |inner| dump(&inner));
-        inner.node.add_dump(title, Box::new(text));
+        inner.node.add_dump_section(title, Box::new(text));
     };
     part("upstream", Inner::dump_upstream);
     part("tails", |inner| inner.tails.dump());
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -21,8 +21,8 @@
             () = node.stop.cancelled() => return,
             received = node.socket.recv_from(&mut buffer) => {
                 let Ok((length, from)) = received else { continue };
-                node.meter().datagrams.with_label_values(&["in"]).inc();
-                node.meter().datagram_bytes.with_label_values(&["in"]).inc_by(length as u64);
+                node.metrics().datagrams.with_label_values(&["in"]).inc();
+                node.metrics().datagram_bytes.with_label_values(&["in"]).inc_by(length as u64);
                 match bergamot_wire::decode(&buffer[..length], from) {
                     Ok(datagram) => receive(&node, &datagram),
                     Err(error) => log::warn!("node: Dropped a datagram: {error}."),
@@ -89,7 +89,7 @@
         let Some(gap) = node.awake.beat(Instant::now()) else {
             continue;
         };
-        node.meter().pauses.inc();
+        node.metrics().pauses.inc();
         log::warn!(
             "node: {} slept for {} ms; catching up with peers.",
             role(&node),
@@ -103,5 +103,5 @@
 }
 
 fn role(node: &Node) -> Role {
-    node.me().role
+    node.endpoint().role
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,15 +8,15 @@
 
 mod admin;
 mod control;
-mod meter;
+mod metrics;
 mod node;
 mod platform;
 mod pulls;
 mod signal;
 
-pub use meter::Meter;
-pub use node::{Current, Dump, LeavingSink, Node};
-pub use signal::{Stop, stop_signal};
+pub use metrics::Metrics;
+pub use node::{ActiveDocument, Dump, LeavingHandler, Node};
+pub use signal::{ShutdownMode, stop_signal};
 
 /// Re-exported so that services can register metrics with the node's registry.
 pub use prometheus;
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/metrics.rs
@@ -4,7 +4,7 @@
 
 /// The metrics of a node.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct Metrics {
     /// Control datagrams, by direction.
     pub datagrams: IntCounterVec,
     /// Bytes of control datagrams, by direction.
@@ -29,7 +29,7 @@
     pub pauses: IntCounter,
 }
 
-impl Meter {
+impl Metrics {
     /// Creates the metrics and registers them.
     pub(crate) fn new(registry: &Registry) -> Self {
         let counters = |name: &str, help: &str, label: &str| {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::meter::Meter;
+use crate::metrics::Metrics;
 use crate::{admin, control, platform, pulls};
 
 /// The number of leaving searchers that are retained for members that start or were paused.
@@ -42,14 +42,14 @@
 const DEPARTURE_ANNOUNCEMENTS: usize = 3;
 
 /// Called with a searcher that is leaving, and with its run if that is known.
-pub type LeavingSink = Box<dyn Fn(SocketAddr, Option<&Name>) + Send + Sync>;
+pub type LeavingHandler = Box<dyn Fn(SocketAddr, Option<&Name>) + Send + Sync>;
 
 /// Returns the text of one section of the state dump.
 pub type Dump = Box<dyn Fn() -> String + Send + Sync>;
 
 /// The document in force.
 #[derive(Debug)]
-pub struct Current {
+pub struct ActiveDocument {
     /// The document.
     pub document: Document,
 }
@@ -69,18 +69,18 @@
 /// One run of a daemon, as known to the other members.
 pub struct Node {
     settings: Arc<Settings>,
-    me: Endpoint,
+    endpoint: Endpoint,
     incarnation: Incarnation,
     pub(crate) quarantine: Arc<Quarantine>,
     pub(crate) control: Mutex<Control>,
-    current: ArcSwapOption<Current>,
+    active_document: ArcSwapOption<ActiveDocument>,
     homes: ArcSwap<Homes>,
     /// The number of changes of the document or the homes.
     changes: watch::Sender<u64>,
     leaving: Mutex<BTreeMap<SocketAddr, Name>>,
     /// The searchers that the last instance list marks as leaving.
     pub(crate) listed_leaving: Mutex<HashSet<SocketAddr>>,
-    leaving_sink: OnceLock<LeavingSink>,
+    leaving_handler: OnceLock<LeavingHandler>,
     pub(crate) awake: Awake,
     pub(crate) socket: UdpSocket,
     /// The hashes of document texts that were refused.
@@ -89,14 +89,14 @@
     pub(crate) pull_lock: tokio::sync::Mutex<()>,
     pub(crate) stop: CancellationToken,
     tasks: Tasks,
-    meter: Meter,
+    metrics: Metrics,
     registry: Registry,
     dumps: Mutex<Vec<(&'static str, Dump)>>,
 }
 
 impl fmt::Debug for Node {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Node({} {:x})", self.me, self.incarnation)
+        write!(f, "Node({} {:x})", self.endpoint, self.incarnation)
     }
 }
 
@@ -105,33 +105,33 @@
     ///
     /// The node has no document yet; see [`Node::join`].
     pub async fn start(settings: Arc<Settings>, role: Role) -> Result<Arc<Self>, Fault> {
-        let me = Endpoint { ip: settings.instance.address, role };
+        let endpoint = Endpoint { ip: settings.instance.address, role };
         let incarnation = new_incarnation();
-        let address = control_address(&settings, me);
+        let address = control_address(&settings, endpoint);
         let socket =
             UdpSocket::bind(address).await.map_err(|e| Fault::new("bind control", address, e))?;
         let stream_listener = listen(address).await?;
-        let admin_listener = listen(admin_address(&settings, me)).await?;
+        let admin_listener = listen(admin_address(&settings, endpoint)).await?;
         let (registry, stop) = (Registry::new(), CancellationToken::new());
         let quarantine = Arc::default();
         let node = Arc::new(Self {
-            me,
+            endpoint,
             incarnation,
-            control: Mutex::new(Control::new(&settings, me, incarnation, &quarantine)),
+            control: Mutex::new(Control::new(&settings, endpoint, incarnation, &quarantine)),
             quarantine,
-            current: ArcSwapOption::empty(),
+            active_document: ArcSwapOption::empty(),
             homes: ArcSwap::default(),
             changes: watch::Sender::new(0),
             leaving: Mutex::default(),
             listed_leaving: Mutex::default(),
-            leaving_sink: OnceLock::new(),
+            leaving_handler: OnceLock::new(),
             awake: Awake::new(settings.control.pause),
             socket,
             refused_hashes: Mutex::default(),
             pull_lock: tokio::sync::Mutex::default(),
             tasks: Tasks::new(stop.clone()),
             stop,
-            meter: Meter::new(&registry),
+            metrics: Metrics::new(&registry),
             registry,
             dumps: Mutex::default(),
             settings,
@@ -140,7 +140,7 @@
         node.tasks.spawn("pulse", control::detect_pauses(Arc::clone(&node)));
         node.tasks.spawn("pulls", pulls::serve(Arc::clone(&node), stream_listener));
         node.tasks.spawn("admin", admin::serve(Arc::clone(&node), admin_listener));
-        log::info!("node: {me} started with incarnation {incarnation:x}.");
+        log::info!("node: {endpoint} started with incarnation {incarnation:x}.");
         Ok(node)
     }
 
@@ -151,7 +151,7 @@
         let mut attempt = 0;
         loop {
             pulls::catch_up(self, true).await;
-            if self.current().is_some() {
+            if self.active_document().is_some() {
                 break;
             }
             if attempt % ATTEMPTS_PER_LOG_LINE == 0 {
@@ -174,8 +174,8 @@
 
     /// Announces that this run is leaving or has left. From now on other members neither direct
     /// callers to it nor send it new work.
-    pub async fn leave(&self, state: State) {
-        log::info!("node: {} announces its departure in state {state}.", self.me);
+    pub async fn announce_departure(&self, state: State) {
+        log::info!("node: {} announces its departure in state {state}.", self.endpoint);
         for _ in 0..DEPARTURE_ANNOUNCEMENTS {
             let out = {
                 let mut control = self.lock();
@@ -203,8 +203,8 @@
     }
 
     /// Returns the endpoint of this daemon.
-    pub fn me(&self) -> Endpoint {
-        self.me
+    pub fn endpoint(&self) -> Endpoint {
+        self.endpoint
     }
 
     /// Returns the incarnation number of this run.
@@ -213,8 +213,8 @@
     }
 
     /// Returns the document in force, or `None` before the first.
-    pub fn current(&self) -> Option<Arc<Current>> {
-        self.current.load_full()
+    pub fn active_document(&self) -> Option<Arc<ActiveDocument>> {
+        self.active_document.load_full()
     }
 
     /// Returns the homes of all cells.
@@ -228,8 +228,8 @@
     }
 
     /// Sets the handler that is called immediately when a searcher is reported as leaving.
-    pub fn on_leaving(&self, sink: LeavingSink) {
-        if self.leaving_sink.set(sink).is_err() {
+    pub fn set_leaving_handler(&self, handler: LeavingHandler) {
+        if self.leaving_handler.set(handler).is_err() {
             log::error!(
                 "node: The handler for leaving searchers is already set; keeping the first."
             );
@@ -245,8 +245,8 @@
 
     /// Handles a report that a searcher is leaving.
     pub(crate) fn handle_leaving(&self, searcher: SocketAddr, run: Option<Name>) {
-        if let Some(sink) = self.leaving_sink.get() {
-            sink(searcher, run.as_ref());
+        if let Some(handler) = self.leaving_handler.get() {
+            handler(searcher, run.as_ref());
         }
         if let Some(run) = run {
             self.retain_leaving(searcher, run);
@@ -264,7 +264,7 @@
     }
 
     /// Returns the searchers known to be leaving, each with its run.
-    pub fn leaving(&self) -> Vec<(SocketAddr, Name)> {
+    pub fn leaving_searchers(&self) -> Vec<(SocketAddr, Name)> {
         let leaving = self.leaving.lock().unwrap_or_else(PoisonError::into_inner);
         leaving.iter().map(|(searcher, run)| (*searcher, Name::clone(run))).collect()
     }
@@ -295,7 +295,7 @@
     }
 
     /// Waits for a short time until new work may start, and returns whether it may.
-    pub async fn awake(&self) -> bool {
+    pub async fn wait_until_awake(&self) -> bool {
         self.awake.wait().await
     }
 
@@ -303,7 +303,7 @@
     /// revision or a later one is then in force.
     pub async fn catch_up_to(self: &Arc<Self>, revision: u64, bound: Duration) -> bool {
         let caught_up =
-            || self.current().is_some_and(|current| current.document.revision >= revision);
+            || self.active_document().is_some_and(|current| current.document.revision >= revision);
         if caught_up() {
             return true;
         }
@@ -313,13 +313,13 @@
     }
 
     /// Returns the number of rumours that this node still gossips.
-    pub fn rumours(&self) -> usize {
+    pub fn rumour_count(&self) -> usize {
         self.lock().membership.rumours()
     }
 
     /// Returns the metrics of the node.
-    pub fn meter(&self) -> &Meter {
-        &self.meter
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// Returns the registry, to which services add their metrics.
@@ -328,14 +328,14 @@
     }
 
     /// Adds a section to the state dump.
-    pub fn add_dump(&self, title: &'static str, dump: Dump) {
+    pub fn add_dump_section(&self, title: &'static str, dump: Dump) {
         self.dumps.lock().unwrap_or_else(PoisonError::into_inner).push((title, dump));
     }
 
     /// Returns the state of the process as text.
     pub fn dump(&self) -> String {
-        let mut text = format!("[node]\n{} incarnation {:x}\n", self.me, self.incarnation);
-        if let Some(current) = self.current() {
+        let mut text = format!("[node]\n{} incarnation {:x}\n", self.endpoint, self.incarnation);
+        if let Some(current) = self.active_document() {
             let _ = write!(text, "\n[document]\n{}", current.document);
         }
         {
@@ -357,8 +357,8 @@
         let verdict = control.floor.adopt(revision, hash);
         match verdict {
             Verdict::Newer => {
-                self.current.store(Some(Arc::new(Current { document })));
-                self.meter.revision.set(revision as i64);
+                self.active_document.store(Some(Arc::new(ActiveDocument { document })));
+                self.metrics.revision.set(revision as i64);
                 control.homes_key = (0, 0);
                 self.refresh_homes(&mut control);
                 let digest = control.digest();
@@ -368,7 +368,7 @@
                 log::info!("config: Revision {revision} is in force.");
             }
             Verdict::Clash => {
-                self.meter.clashes.set(control.floor.clashes() as i64);
+                self.metrics.clashes.set(control.floor.clashes() as i64);
                 drop(control);
                 log::error!(
                     "config: Revision {revision} came with other content; keeping the one in force."
@@ -381,8 +381,8 @@
 
     /// Recomputes the homes if the members or the document have changed.
     pub(crate) fn refresh_homes(&self, control: &mut Control) {
-        self.meter.members.set(control.membership.view().len() as i64);
-        let Some(current) = self.current() else {
+        self.metrics.members.set(control.membership.view().len() as i64);
+        let Some(current) = self.active_document() else {
             return;
         };
         let key = (current.document.hash, control.membership.view().places_hash());
@@ -402,8 +402,8 @@
         for outgoing in out {
             let bytes = bergamot_wire::encode(outgoing.datagram);
             let address = control_address(&self.settings, outgoing.to);
-            self.meter.datagrams.with_label_values(&["out"]).inc();
-            self.meter.datagram_bytes.with_label_values(&["out"]).inc_by(bytes.len() as u64);
+            self.metrics.datagrams.with_label_values(&["out"]).inc();
+            self.metrics.datagram_bytes.with_label_values(&["out"]).inc_by(bytes.len() as u64);
             if let Err(error) = self.socket.try_send_to(&bytes, address) {
                 log::debug!("node: Datagram to {address} was not sent: {error}.");
             }
@@ -424,14 +424,14 @@
 
     fn new(
         settings: &Settings,
-        me: Endpoint,
+        endpoint: Endpoint,
         incarnation: Incarnation,
         quarantine: &Arc<Quarantine>,
     ) -> Self {
         let now = Instant::now();
         let zone = Name::clone(&settings.instance.zone);
-        let me =
-            Record { endpoint: me, zone, incarnation, counter: 0, state: State::Alive, weight: 0 };
+        let own =
+            Record { endpoint, zone, incarnation, counter: 0, state: State::Alive, weight: 0 };
         let timing = Timing {
             probe: settings.control.probe,
             answer: settings.control.answer,
@@ -441,7 +441,7 @@
         // Members are discovered through the platform's instance list, not through seeds.
         let seeds = Vec::new();
         Self {
-            membership: Membership::new(now, timing, me, seeds, seed.generator("membership")),
+            membership: Membership::new(now, timing, own, seeds, seed.generator("membership")),
             suspicions: Suspicions::new(Arc::clone(quarantine)),
             floor: Floor::default(),
             rng: seed.generator("node"),
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -98,7 +98,7 @@
     match serde_json::from_slice::<Vec<ListEntry>>(reply.body()) {
         Ok(entries) => apply_list(node, &entries),
         Err(error) => {
-            node.meter().platform_failures.with_label_values(&["instances"]).inc();
+            node.metrics().platform_failures.with_label_values(&["instances"]).inc();
             log::warn!("node: Cannot parse the instance list: {error}.");
         }
     }
@@ -140,7 +140,7 @@
 }
 
 async fn watch_once(node: &Arc<Node>) {
-    let after = node.current().map_or(0, |current| current.document.revision);
+    let after = node.active_document().map_or(0, |current| current.document.revision);
     let path = format!("/v1/watch?after={after}&wait_ms={}", WATCH_WAIT.as_millis());
     let timeout = WATCH_WAIT + node.settings().platform.timeout;
     let reply = tokio::select! {
@@ -151,7 +151,7 @@
         Some(reply) if reply.status() == StatusCode::OK => {
             handle_document_reply(node, &reply);
             // If the document was not put in force, the next watch would return it again at once.
-            let in_force = node.current().map_or(0, |current| current.document.revision);
+            let in_force = node.active_document().map_or(0, |current| current.document.revision);
             if in_force == after {
                 tokio::time::sleep(jitter(node, WATCH_BACKOFF)).await;
             }
@@ -187,20 +187,20 @@
         "document" => settings.platform.configuration,
         _ => settings.platform.instances,
     };
-    node.meter().platform_reads.with_label_values(&[what]).inc();
+    node.metrics().platform_reads.with_label_values(&[what]).inc();
     let cause = match fetch(settings.instance.address, remote, path, timeout).await {
         Ok(reply) if reply.status().is_success() => return Some(reply),
         Ok(reply) => format!("status {}", reply.status()),
         Err(fault) => fault.to_string(),
     };
-    node.meter().platform_failures.with_label_values(&[what]).inc();
+    node.metrics().platform_failures.with_label_values(&[what]).inc();
     log::debug!("node: Cannot read the {what} from the platform: {cause}.");
     None
 }
 
 fn is_reader(node: &Node) -> bool {
     let per_zone = node.settings().control.readers as usize;
-    node.with_view(|view| readers(view, per_zone)).contains(&node.me())
+    node.with_view(|view| readers(view, per_zone)).contains(&node.endpoint())
 }
 
 fn direct_read_interval(node: &Node) -> Duration {
--- a/crates/node/src/pulls.rs
+++ b/crates/node/src/pulls.rs
@@ -33,7 +33,7 @@
 
 fn respond(node: &Node, request: &Pull) -> Bundle {
     let parcel = node
-        .current()
+        .active_document()
         .filter(|current| current.document.revision > request.revision)
         .map(|current| Parcel::of(&current.document).without(&request.held));
     let Some(theirs) = &request.view else {
@@ -44,7 +44,7 @@
     control.membership.learn_all(Instant::now(), theirs);
     node.refresh_homes(&mut control);
     drop(control);
-    Bundle { parcel, view, leaving: node.leaving() }
+    Bundle { parcel, view, leaving: node.leaving_searchers() }
 }
 
 /// Compares a peer's digest with ours, and pulls from the peer if it has a later revision.
@@ -63,7 +63,7 @@
             exchange(&node, from, false).await;
         });
     } else if theirs.revision == ours.revision && theirs.hash != ours.hash && ours.revision > 0 {
-        node.meter().clashes.set(1);
+        node.metrics().clashes.set(1);
         log::error!("config: {from} has revision {} with other content.", theirs.revision);
     } else if theirs.view != ours.view {
         let selected = node.lock().rng.random_ratio(1, VIEW_EXCHANGE_RATIO);
@@ -103,11 +103,11 @@
             "failed"
         }
     };
-    node.meter().pulls.with_label_values(&[result]).inc();
+    node.metrics().pulls.with_label_values(&[result]).inc();
 }
 
 async fn try_exchange(node: &Arc<Node>, peer: SocketAddr, with_view: bool) -> Result<(), Fault> {
-    let current = node.current();
+    let current = node.active_document();
     let view = with_view.then(|| node.with_view(|view| view.iter().cloned().collect()));
     let request = Pull {
         revision: current.as_ref().map_or(0, |current| current.document.revision),
@@ -118,7 +118,7 @@
     };
     let local = node.settings().instance.address;
     let (bundle, bytes) = pull(local, peer, &request, PULL_TIMEOUT).await?;
-    node.meter().pull_bytes.inc_by(bytes as u64);
+    node.metrics().pull_bytes.inc_by(bytes as u64);
     if with_view {
         let mut control = node.lock();
         control.membership.learn_all(Instant::now(), &bundle.view);
@@ -147,7 +147,7 @@
             }
         }
         Err(refusal) => {
-            node.meter().refused_documents.inc();
+            node.metrics().refused_documents.inc();
             log::error!("config: Refused a document from {from}: {refusal}");
         }
     }
--- a/crates/node/src/signal.rs
+++ b/crates/node/src/signal.rs
@@ -2,31 +2,31 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The kind of stop that a signal requests.
+/// How a signal requests the process to shut down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum ShutdownMode {
     /// Complete the requests in flight before exiting.
     Graceful,
     /// Exit immediately and abort the requests in flight, as the operator demands.
-    Now,
+    Immediate,
 }
 
 /// Waits for a stop signal; `draining` states whether a graceful stop is already in progress.
 ///
 /// `SIGTERM` always requests a graceful stop, however often it is sent.
-pub async fn stop_signal(draining: bool) -> std::io::Result<Stop> {
+pub async fn stop_signal(draining: bool) -> std::io::Result<ShutdownMode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     loop {
         tokio::select! {
             _ = terminate.recv() => {
                 if !draining {
-                    return Ok(Stop::Graceful);
+                    return Ok(ShutdownMode::Graceful);
                 }
                 log::info!("node: Already draining; send SIGINT to abort requests in flight.");
             }
             _ = interrupt.recv() => {
-                return Ok(if draining { Stop::Now } else { Stop::Graceful });
+                return Ok(if draining { ShutdownMode::Immediate } else { ShutdownMode::Graceful });
             }
         }
     }
--- a/daemons/src/launch.rs
+++ b/daemons/src/launch.rs
@@ -7,7 +7,7 @@
 
 use bergamot_base::{Name, Peer, Step};
 use bergamot_config::{Refusal, Settings};
-use bergamot_node::{Stop, stop_signal};
+use bergamot_node::{ShutdownMode, stop_signal};
 use gumdrop::Options;
 use snafu::Snafu;
 
@@ -189,8 +189,8 @@
     tokio::select! {
         () = (service.stop)(running) => Ok(code),
         asked = stop_signal(true) => match asked {
-            Ok(Stop::Now) => Err(Failure::failed("stopped at once, as the operator asked")),
-            Ok(Stop::Graceful) => Ok(code),
+            Ok(ShutdownMode::Immediate) => Err(Failure::failed("stopped at once, as the operator asked")),
+            Ok(ShutdownMode::Graceful) => Ok(code),
             Err(error) => Err(Failure::failed(error)),
         },
     }
