--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -7,7 +7,7 @@
 use bergamot_config::row::Preference;
 use bergamot_members::{AddressList as Addresses, addresses};
 use bergamot_net::{Body, json};
-use bergamot_node::Current;
+use bergamot_node::ActiveDocument;
 use bergamot_query::Shape;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -268,8 +268,8 @@
     Ok((label, answer.response(current.document.revision)))
 }
 
-fn current_document(inner: &Inner) -> Result<Arc<Current>, RequestError> {
-    inner.node.current().ok_or_else(|| {
+fn current_document(inner: &Inner) -> Result<Arc<ActiveDocument>, RequestError> {
+    inner.node.active_document().ok_or_else(|| {
         RequestError::unavailable(
             "start",
             "here",
@@ -280,7 +280,7 @@
 }
 
 async fn ensure_awake(inner: &Inner) -> Result<(), RequestError> {
-    if inner.node.awake().await {
+    if inner.node.wait_until_awake().await {
         return Ok(());
     }
     Err(RequestError::unavailable(
@@ -292,7 +292,7 @@
 }
 
 fn find_services(
-    current: &Current,
+    current: &ActiveDocument,
     workspace: &Name,
     names: &[Name],
 ) -> Result<Vec<Service>, RequestError> {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -120,7 +120,7 @@
         let node = &self.inner.node;
         let settings = &node.settings().entry;
         let start = Instant::now();
-        node.leave(State::Leaving).await;
+        node.announce_departure(State::Leaving).await;
         self.inner.draining.store(true, Ordering::Relaxed);
         let until = start + settings.address_ttl + LEAVE_PROPAGATION_TIME;
         tokio::time::sleep_until(until.into()).await;
@@ -133,7 +133,7 @@
         if tokio::time::timeout(settings.drain, drained).await.is_err() {
             log::warn!("entry: Stopping with requests still in flight after {:?}.", settings.drain);
         }
-        node.leave(State::Left).await;
+        node.announce_departure(State::Left).await;
         node.close();
         log::info!("entry: Stopped.");
     }
@@ -173,7 +173,7 @@
     let part = |title, dump: fn(&Inner) -> String| {
         let weak_inner = Arc::downgrade(inner);
         let text = move || weak_inner.upgrade().map_or_else(String::new, |inner| dump(&inner));
-        inner.node.add_dump(title, Box::new(text));
+        inner.node.add_dump_section(title, Box::new(text));
     };
     part("admission", |inner| inner.admission.dump());
     part("writes", |inner| inner.write_executor.dump());
--- a/crates/entry/src/write.rs
+++ b/crates/entry/src/write.rs
@@ -154,10 +154,10 @@
     /// Sends a write to a home of its shard. Tries the next home only if the write was refused or
     /// the connection failed.
     async fn send(&self, key: &Key, write: &WriteRequest) -> Outcome {
-        if !self.node.awake().await {
+        if !self.node.wait_until_awake().await {
             return Outcome::not_run("this entry slept and has not caught up");
         }
-        let Some(current) = self.node.current() else {
+        let Some(current) = self.node.active_document() else {
             return Outcome::not_run("no document is in force");
         };
         let document = &current.document;
--- a/crates/gather/src/assignment.rs
+++ b/crates/gather/src/assignment.rs
@@ -6,13 +6,13 @@
 use bergamot_base::{Cell, Searcher, Shard, Version};
 use bergamot_config::Settings;
 use bergamot_members::{Endpoint, Homes};
-use bergamot_node::Current;
+use bergamot_node::ActiveDocument;
 use bergamot_upstream::{Client, ClientSet};
 
 /// The cells that a gather is a home of under one document, and the clients of their searchers.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
-    pub(crate) current: Arc<Current>,
+    pub(crate) current: Arc<ActiveDocument>,
     pub(crate) cells: BTreeSet<Cell>,
     pub(crate) clients: ClientSet,
 }
@@ -21,7 +21,7 @@
     /// Computes the assignment for a document and its homes, reusing existing clients.
     pub(crate) fn new(
         previous: Option<&Self>,
-        current: Arc<Current>,
+        current: Arc<ActiveDocument>,
         homes: &Homes,
         me: Endpoint,
         settings: &Settings,
--- a/crates/gather/src/service.rs
+++ b/crates/gather/src/service.rs
@@ -65,15 +65,16 @@
 
     /// Recomputes the assignment after a change of the document or the homes.
     pub(crate) fn update_assignment(&self) {
-        let Some(current) = self.node.current() else {
+        let Some(current) = self.node.active_document() else {
             return;
         };
         let previous = self.assignment();
         let homes = self.node.homes();
         let settings = self.node.settings();
-        let next = Assignment::new(previous.as_deref(), current, &homes, self.node.me(), settings);
+        let next =
+            Assignment::new(previous.as_deref(), current, &homes, self.node.endpoint(), settings);
         // A newly assigned searcher may have been reported as leaving before it was assigned.
-        for (searcher, run) in self.node.leaving() {
+        for (searcher, run) in self.node.leaving_searchers() {
             if let Some(client) = next.clients.client_at(searcher) {
                 client.health().record_leaving_notice(Some(&run));
             }
@@ -88,7 +89,7 @@
         revision: Revision,
         deadline: Deadline,
     ) -> Result<Arc<Assignment>, Refusal> {
-        if !self.node.awake().await {
+        if !self.node.wait_until_awake().await {
             return Err(Refusal::Asleep);
         }
         let timeout = deadline.left(Instant::now()) / 2;
@@ -136,7 +137,7 @@
         inner.update_assignment();
         add_dumps(&inner);
         let weak_inner = Arc::downgrade(&inner);
-        inner.node.on_leaving(Box::new(move |searcher, run| {
+        inner.node.set_leaving_handler(Box::new(move |searcher, run| {
             if let Some(inner) = weak_inner.upgrade() {
                 maintenance::record_leaving_notice(&inner, searcher, run);
             }
@@ -178,7 +179,7 @@
     /// none is in flight, then closes. The drain time in the settings limits how long this takes.
     pub async fn stop(self) {
         let node = &self.inner.node;
-        node.leave(State::Leaving).await;
+        node.announce_departure(State::Leaving).await;
         let start = Instant::now();
         let max_time = node.settings().entry.drain;
         let mut received = self.inner.received.load(Ordering::Relaxed);
@@ -196,7 +197,7 @@
         self.stop.cancel();
         // A panic in a handler has already been reported.
         let _ = self.serve_task.await;
-        node.leave(State::Left).await;
+        node.announce_departure(State::Left).await;
         node.close();
         log::info!("gather: Stopped.");
     }
@@ -210,7 +211,7 @@
     let part = |title, dump: fn(&Inner) -> String| {
         let weak_inner = Arc::downgrade(inner);
         let text = move || weak_inner.upgrade().map_or_else(String::new, |inner| dump(&inner));
-        inner.node.add_dump(title, Box::new(text));
+        inner.node.add_dump_section(title, Box::new(text));
     };
     part("upstream", Inner::dump_upstream);
     part("tails", |inner| inner.service_states.dump());
--- a/crates/node/src/signal.rs
+++ b/crates/node/src/signal.rs
@@ -1,30 +1,32 @@
-//! Stop signals: the first asks for a graceful shutdown, `SIGINT` after it for haste.
+//! Stop signals: the first requests a graceful shutdown, a later `SIGINT` an immediate one.
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How a process was asked to stop.
+/// How a signal requests the process to shut down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
-    /// Finish what is in flight.
+pub enum ShutdownMode {
+    /// Complete the requests in flight before exiting.
     Graceful,
-    /// End now; requests in flight are cut because the operator asks for it.
-    Now,
+    /// Exit immediately and abort the requests in flight, as the operator demands.
+    Immediate,
 }
 
-/// Waits for a stop signal. `SIGTERM` is always graceful, however often it comes.
-pub async fn stop_signal(draining: bool) -> std::io::Result<Stop> {
+/// Waits for a stop signal; `draining` states whether a graceful stop is already in progress.
+///
+/// `SIGTERM` always requests a graceful stop, however often it is sent.
+pub async fn stop_signal(draining: bool) -> std::io::Result<ShutdownMode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     loop {
         tokio::select! {
             _ = terminate.recv() => {
                 if !draining {
-                    return Ok(Stop::Graceful);
+                    return Ok(ShutdownMode::Graceful);
                 }
-                log::info!("node: Already draining; send SIGINT to cut requests in flight.");
+                log::info!("node: Already draining; send SIGINT to abort requests in flight.");
             }
             _ = interrupt.recv() => {
-                return Ok(if draining { Stop::Now } else { Stop::Graceful });
+                return Ok(if draining { ShutdownMode::Immediate } else { ShutdownMode::Graceful });
             }
         }
     }
--- a/daemons/src/launch.rs
+++ b/daemons/src/launch.rs
@@ -7,7 +7,7 @@
 
 use bergamot_base::{Name, Peer, Step};
 use bergamot_config::{Refusal, Settings};
-use bergamot_node::{Stop, stop_signal};
+use bergamot_node::{ShutdownMode, stop_signal};
 use gumdrop::Options;
 use snafu::Snafu;
 
@@ -190,8 +190,8 @@
     tokio::select! {
         () = (service.stop)(running) => Ok(code),
         signal = stop_signal(true) => match signal {
-            Ok(Stop::Now) => Err(Failure::failed("stopped by SIGINT during the graceful stop")),
-            Ok(Stop::Graceful) => Ok(code),
+            Ok(ShutdownMode::Immediate) => Err(Failure::failed("stopped by SIGINT during the graceful stop")),
+            Ok(ShutdownMode::Graceful) => Ok(code),
             Err(error) => Err(Failure::failed(error)),
         },
     }
