--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -45,17 +45,18 @@
         limits: AttemptLimits,
         results: mpsc::UnboundedSender<AttemptResult>,
     ) -> Self {
-        let (relay, job, asked) = (Arc::clone(relay), Arc::clone(job), Arc::clone(&link));
+        let (relay, job, target) = (Arc::clone(relay), Arc::clone(job), Arc::clone(&link));
         let task = tokio::spawn(async move {
             let mut outcome =
-                exchange(&relay, &asked, &job, limits.connect_by, limits.deadline).await;
+                exchange(&relay, &target, &job, limits.connect_by, limits.deadline).await;
             if let Err(error) = &mut outcome
                 && error.connection_lost
             {
-                error.searcher_ended = relay.check_searcher_ended(&asked, &job, limits.trial).await;
+                error.searcher_ended =
+                    relay.check_searcher_ended(&target, &job, limits.trial).await;
             }
             // The race may have finished in the meantime.
-            let _ended = results.send((asked, outcome));
+            let _ended = results.send((target, outcome));
         });
         Self { link, task }
     }
--- a/crates/relay/src/delegate.rs
+++ b/crates/relay/src/delegate.rs
@@ -95,13 +95,13 @@
     fn expected_delay(&self, location: &RemoteLocation) -> Duration {
         let policy = &self.settings.policy.delegate;
         let state = self.lock();
-        let seen = match location {
+        let round_trip = match location {
             RemoteLocation::Zone(zone) => state.round_trips.round_trip(zone),
             RemoteLocation::Region(region) => {
                 state.round_trips.shortest_to(|zone| self.zone_is_in(zone, region))
             }
         };
-        seen.map_or(location.default_delay(policy), |seen| seen + policy.handling)
+        round_trip.map_or(location.default_delay(policy), |round_trip| round_trip + policy.handling)
     }
 
     /// Returns the additional wait for a member of the farthest region, compared with a nearby
@@ -127,43 +127,43 @@
 pub(crate) struct DelegateMembers {
     policy: Arc<Policy>,
     known: Vec<DelegateMember>,
-    outlooks: BTreeMap<Ipv4Addr, LatencyEstimator>,
+    estimators: BTreeMap<Ipv4Addr, LatencyEstimator>,
 }
 
 impl DelegateMembers {
     pub(crate) fn new(policy: Arc<Policy>) -> Self {
-        Self { policy, known: Vec::new(), outlooks: BTreeMap::new() }
+        Self { policy, known: Vec::new(), estimators: BTreeMap::new() }
     }
 
     /// Replaces the set of available members.
     pub(crate) fn set(&mut self, known: Vec<DelegateMember>) {
-        self.outlooks.retain(|ip, _| known.iter().any(|member| member.ip == *ip));
+        self.estimators.retain(|ip, _| known.iter().any(|member| member.ip == *ip));
         self.known = known;
     }
 
-    /// Chooses the member at a location with the lowest expected delay, unless none of them
-    /// responds.
+    /// Chooses the member at a location with the lowest expected delay. Returns `None` if there is
+    /// no member or none of them responds.
     pub(crate) fn choose(&self, location: &RemoteLocation, now: Instant) -> Option<Ipv4Addr> {
         let expected = |member: &DelegateMember| {
-            let outlook = self.outlooks.get(&member.ip);
-            outlook.map_or(0.0, |outlook| outlook.expected(now, MEMBER_SLOTS, false))
+            let estimator = self.estimators.get(&member.ip);
+            estimator.map_or(0.0, |estimator| estimator.expected(now, MEMBER_SLOTS, false))
         };
-        let there = self.known.iter().filter(|member| location.contains(member));
-        let timed = there.map(|member| (expected(member), member.ip));
-        let best = timed.min_by(|a, b| a.0.total_cmp(&b.0))?;
-        (best.0 < self.policy.delegate.silent).then_some(best.1)
+        let local = self.known.iter().filter(|member| location.contains(member));
+        let delays = local.map(|member| (expected(member), member.ip));
+        let (delay, ip) = delays.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        (delay < self.policy.delegate.silent).then_some(ip)
     }
 
-    fn outlook(&mut self, ip: Ipv4Addr) -> &mut LatencyEstimator {
+    fn estimator(&mut self, ip: Ipv4Addr) -> &mut LatencyEstimator {
         let policy = &self.policy;
-        let unseen = || {
+        let new_estimator = || {
             LatencyEstimator::new(
                 policy.delegate.region,
                 Arc::clone(policy),
                 StallPeriod::default(),
             )
         };
-        self.outlooks.entry(ip).or_insert_with(unseen)
+        self.estimators.entry(ip).or_insert_with(new_estimator)
     }
 }
 
@@ -179,12 +179,12 @@
     fn drop(&mut self) {
         let now = Instant::now();
         self.relay.with_delegates(|delegates| {
-            let outlook = delegates.outlook(self.ip);
+            let estimator = delegates.estimator(self.ip);
             if self.answered {
-                outlook.record_answer(self.sent, now);
+                estimator.record_answer(self.sent, now);
             } else {
-                outlook.record_abandon(self.sent, now);
-                outlook.record_failure(now);
+                estimator.record_abandon(self.sent, now);
+                estimator.record_failure(now);
             }
         });
     }
@@ -196,7 +196,7 @@
     /// The number of records in the response to the caller.
     pub(crate) top_k: usize,
     /// The number of records of these shards that is likely to suffice.
-    pub(crate) enough: usize,
+    pub(crate) sufficient: usize,
 }
 
 /// Queries a member for some shards. Returns `None` if it does not reply in time.
@@ -209,12 +209,13 @@
     plan: &RacePlan,
 ) -> Option<ShardReply> {
     let sent = Instant::now();
-    let usual = plan.usual_by.saturating_duration_since(sent);
+    let expected_wait = plan.expected_response_by.saturating_duration_since(sent);
     let policy = relay.settings.policy.delegate;
-    let query = build_query(job, shards, limits, usual.max(policy.least), plan);
-    relay.with_delegates(|delegates| delegates.outlook(ip).record_send(sent));
+    let query = build_query(job, shards, limits, expected_wait.max(policy.least), plan);
+    relay.with_delegates(|delegates| delegates.estimator(ip).record_send(sent));
     let mut pending = PendingQuery { relay, ip, sent, answered: false };
-    let until = sent + usual.max(policy.least) + relay.expected_delay(location) + policy.late;
+    let until =
+        sent + expected_wait.max(policy.least) + relay.expected_delay(location) + policy.late;
     let answer =
         tokio::time::timeout_at(until.into(), (relay.helping().gather)(ip, query, until)).await;
     match answer {
@@ -255,7 +256,7 @@
         body: request.body.to_vec(),
         shards,
         top_k: limits.top_k as u32,
-        enough: limits.enough as u32,
+        enough: limits.sufficient as u32,
         answer_within: within,
         deadline: plan.deadline.saturating_duration_since(Instant::now()),
     }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -58,27 +58,27 @@
 
 impl<'a> PendingRequest<'a> {
     fn start(link: &'a SearcherLink, now: Instant) -> Self {
-        link.outlook().record_send(now);
+        link.estimator().record_send(now);
         Self { link, sent: now, resolved: false }
     }
 
     fn answered(mut self) {
         self.resolved = true;
-        self.link.outlook().record_answer(self.sent, Instant::now());
+        self.link.estimator().record_answer(self.sent, Instant::now());
     }
 
     fn failed(mut self) {
         self.resolved = true;
-        let mut outlook = self.link.outlook();
-        outlook.record_end(self.sent);
-        outlook.record_failure(Instant::now());
+        let mut estimator = self.link.estimator();
+        estimator.record_end(self.sent);
+        estimator.record_failure(Instant::now());
     }
 }
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if !self.resolved {
-            self.link.outlook().record_abandon(self.sent, Instant::now());
+            self.link.estimator().record_abandon(self.sent, Instant::now());
         }
     }
 }
@@ -96,7 +96,7 @@
 ) -> Result<SearcherResponse, AttemptError> {
     let searcher = &link.upstream.incarnation;
     let lease = link.pool.lease(deadline_at(connect_by)).await.map_err(|fault| {
-        link.outlook().record_failure(Instant::now());
+        link.estimator().record_failure(Instant::now());
         AttemptError::new(Ending::NotSent, fault)
     })?;
     if !relay.takes_work(searcher) {
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -23,7 +23,7 @@
 use crate::delegate::{self, RecordLimits, RemoteLocation};
 use crate::message::{Cause, Job, MergedResponse, Refusal, Reply, SearcherResponse};
 use crate::partial_results::{MemberPart, PartialResults};
-use crate::quarantine::TrialAnswer;
+use crate::quarantine::TrialResponse;
 use crate::race::{Race, RaceFailure, RacePlan, TriedSearcher};
 use crate::relay::Relay;
 
@@ -51,27 +51,27 @@
     relay: &Arc<Relay>,
     job: &Arc<Job>,
     gather: &Gather,
-    patience: RequestTimeouts,
-    first: Option<TrialAnswer>,
+    timeouts: RequestTimeouts,
+    trial_response: Option<TrialResponse>,
 ) -> Reply {
     let fewest = gather.fewest();
     let mut delays = relay.expected_delays(&gather.shards);
     if delays.len() < fewest {
         let served = delays.len();
         let cause = format!("{served} of {fewest} shards have a searcher");
-        return refuse(relay, job, (Cause::NotRun, relay.missing_searcher_obstacle()), &cause);
+        return refuse(relay, job, (Cause::NotRun, relay.searcher_unavailability()), &cause);
     }
     let policy = &relay.settings.policy.admit;
-    let admitted = admit(&mut delays, fewest, patience.target, policy, rand::rng().random());
+    let admitted = admit(&mut delays, fewest, timeouts.target, policy, rand::rng().random());
     if let Err(excess) = admitted {
         let cause = "expected delay at the searchers exceeds the target latency";
         return refuse(relay, job, (Cause::NotRun, Unavailability::Backlog(excess)), cause);
     }
     for shard in &gather.shards {
-        relay.earn_attempts(shard);
+        relay.credit_retry_budget(shard);
     }
-    let mut state = GatherState::start(relay, job, gather, patience, first);
-    let target = job.request.received + patience.target;
+    let mut state = GatherState::start(relay, job, gather, timeouts, trial_response);
+    let target = job.request.received + timeouts.target;
     let mut late = false;
     loop {
         // The lock on the tally is released before the verdict is handled.
@@ -80,8 +80,8 @@
             GatherDecision::Wait => {}
             GatherDecision::Answer => break,
             GatherDecision::Fail => {
-                let absent = job.tally().not_arrived();
-                let cause = format!("{absent} shards missing, coverage below the minimum");
+                let missing = job.tally().not_arrived();
+                let cause = format!("{missing} shards missing, coverage below the minimum");
                 return refuse(
                     relay,
                     job,
@@ -128,15 +128,15 @@
         relay: &'a Arc<Relay>,
         job: &'a Arc<Job>,
         gather: &'a Gather,
-        patience: RequestTimeouts,
-        first: Option<TrialAnswer>,
+        timeouts: RequestTimeouts,
+        trial_response: Option<TrialResponse>,
     ) -> Self {
-        let plan = RacePlan::new(job, patience, &relay.settings.policy);
+        let plan = RacePlan::new(job, timeouts, &relay.settings.policy);
         let (worst_ending, work) = (Ending::NotSent, PendingWork::new());
         let (parts, sources) = (PartialResults::default(), HashMap::new());
         let mut state = Self { relay, job, plan, worst_ending, parts, work, sources };
         let mut shards: Vec<&Name> = gather.shards.iter().collect();
-        if let Some(TrialAnswer { service, response }) = first
+        if let Some(TrialResponse { service, response }) = trial_response
             && let Some(at) = shards.iter().position(|shard| **shard == service)
         {
             let shard = shards.remove(at);
@@ -144,9 +144,9 @@
             state.add_part(shard, response.signature, response.body);
         }
         // With a single attempt allowed, shards that a member misses could not be asked again.
-        let delegates = relay.settings.policy.delegate.on && job.max_attempts > 1;
+        let may_delegate = relay.settings.policy.delegate.on && job.max_attempts > 1;
         let (direct, groups) =
-            if delegates { partition_shards(relay, shards) } else { (shards, Vec::new()) };
+            if may_delegate { partition_shards(relay, shards) } else { (shards, Vec::new()) };
         for shard in direct {
             state.start_race(shard, Vec::new());
         }
@@ -174,14 +174,14 @@
         }
         let names = shards.iter().map(|shard| Name::clone(shard)).collect();
         let (top_k, all) = (gather.top_k, gather.shards.len());
-        let enough = relay.initial_record_count(top_k, shards.len(), all);
+        let sufficient = relay.initial_record_count(top_k, shards.len(), all);
         self.work.push(Box::pin(async move {
             let reply = delegate::query_shards(
                 relay,
                 job,
                 (ip, &location),
                 names,
-                RecordLimits { top_k, enough },
+                RecordLimits { top_k, sufficient },
                 &plan,
             )
             .await;
@@ -190,16 +190,16 @@
     }
 
     /// Fetches the shards that arrived at a member after its reply.
-    fn fetch_late_shards(&self, asked: MemberQuery<'a>, token: u64) {
+    fn fetch_late_shards(&self, query: MemberQuery<'a>, token: u64) {
         let (relay, deadline) = (self.relay, self.plan.deadline);
         self.work.push(Box::pin(async move {
-            let late = (relay.helping().rest)(asked.ip, token, deadline).await;
+            let late = (relay.helping().rest)(query.ip, token, deadline).await;
             let late = late.unwrap_or_else(|cause| {
-                let ip = asked.ip;
+                let ip = query.ip;
                 log::info!("relay: event=helper_failed member={ip} cause=\"{cause}\"");
                 Vec::new()
             });
-            WorkResult::LateShards(asked, token, late)
+            WorkResult::LateShards(query, token, late)
         }));
     }
 
@@ -212,30 +212,30 @@
                 self.worst_ending = self.worst_ending.max(failure.ending);
                 self.source_ended(shard);
             }
-            WorkResult::Member(asked, Some(reply)) => self.handle_reply(asked, reply),
-            WorkResult::Member(asked, None) => {
-                for shard in asked.shards {
+            WorkResult::Member(query, Some(reply)) => self.handle_reply(query, reply),
+            WorkResult::Member(query, None) => {
+                for shard in query.shards {
                     // The searcher that the member asked is unknown; it counts as one attempt.
                     self.start_race(shard, vec![TriedSearcher::Unidentified]);
                     self.source_ended(shard);
                 }
             }
-            WorkResult::LateShards(asked, token, late) => self.handle_late(asked, token, late),
+            WorkResult::LateShards(query, token, late) => self.handle_late(query, token, late),
         }
         self.job.tally_changed.notify_waiters();
     }
 
-    fn handle_reply(&mut self, asked: MemberQuery<'a>, reply: ShardReply) {
-        let ShardReply { shards: found, records, left_out, rest, quiet } = reply;
+    fn handle_reply(&mut self, query: MemberQuery<'a>, reply: ShardReply) {
+        let ShardReply { shards: outcomes, records, left_out, rest, quiet } = reply;
         for quiet in quiet {
-            if let Some(shard) = asked.shards.get(quiet.index as usize) {
-                self.relay.apply_expected_silence(shard, quiet);
+            if let Some(shard) = query.shards.get(quiet.index as usize) {
+                self.relay.apply_reported_stall(shard, quiet);
             }
         }
         let records = Bytes::from(records);
         let mut signatures = Vec::new();
-        for (shard, found) in asked.shards.iter().copied().zip(found) {
-            match found {
+        for (shard, outcome) in query.shards.iter().copied().zip(outcomes) {
+            match outcome {
                 ShardOutcome::In(signature) => {
                     signatures.extend(self.record_part(shard, parse_signature(&signature)));
                 }
@@ -245,13 +245,13 @@
                 }
                 ShardOutcome::Failed(searcher) => {
                     self.worst_ending = Ending::Unknown;
-                    self.relay.note_failure(&searcher);
+                    self.relay.record_searcher_failure(&searcher);
                     self.start_race(shard, vec![TriedSearcher::Known(searcher)]);
                     self.source_ended(shard);
                 }
                 ShardOutcome::Ended(searcher) => {
                     self.worst_ending = Ending::Unknown;
-                    self.relay.note_failure(&searcher);
+                    self.relay.record_searcher_failure(&searcher);
                     self.job.retry_gate.record_crash();
                     self.start_race(shard, vec![TriedSearcher::Known(searcher)]);
                     self.source_ended(shard);
@@ -262,15 +262,15 @@
                 }
             }
         }
-        self.parts.add_merged(MemberPart { ip: asked.ip, signatures, records, left_out });
+        self.parts.add_merged(MemberPart { ip: query.ip, signatures, records, left_out });
         if rest != 0 {
-            self.fetch_late_shards(asked, rest);
+            self.fetch_late_shards(query, rest);
         }
     }
 
-    fn handle_late(&mut self, asked: MemberQuery<'a>, token: u64, late: Vec<Late>) {
+    fn handle_late(&mut self, query: MemberQuery<'a>, token: u64, late: Vec<Late>) {
         if late.is_empty() {
-            for shard in asked.shards {
+            for shard in query.shards {
                 self.source_ended(shard);
             }
             return;
@@ -279,7 +279,7 @@
             if ended {
                 self.job.retry_gate.record_crash();
             }
-            let Some(shard) = asked.shards.get(index as usize).copied() else { continue };
+            let Some(shard) = query.shards.get(index as usize).copied() else { continue };
             match signature {
                 Some(signature) => {
                     self.add_part(shard, parse_signature(&signature), Bytes::from(records));
@@ -287,7 +287,7 @@
                 None => self.source_ended(shard),
             }
         }
-        self.fetch_late_shards(asked, token);
+        self.fetch_late_shards(query, token);
     }
 
     /// Adds the records of a shard, unless the shard is already included.
@@ -378,10 +378,10 @@
 fn refuse(
     relay: &Relay,
     job: &Job,
-    (cause, obstacle): (Cause, Unavailability),
+    (cause, unavailability): (Cause, Unavailability),
     why: &str,
 ) -> Reply {
     let request = &job.request.id;
     log::info!("relay: event=refused request={request:?} outcome={cause:?} cause=\"{why}\"");
-    Reply::Refused(Refusal { cause, retry_after: Some(relay.retry_after(obstacle)) })
+    Reply::Refused(Refusal { cause, retry_after: Some(relay.retry_after(unavailability)) })
 }
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -14,7 +14,7 @@
 use crate::gather::gather;
 use crate::message::{Cause, Job, Refusal, Reply, Request};
 use crate::meter::outcome;
-use crate::quarantine::TrialAnswer;
+use crate::quarantine::TrialResponse;
 use crate::race::{Race, RaceFailure, RacePlan};
 use crate::relay::Relay;
 
@@ -55,7 +55,7 @@
             .map(|declaration| declaration.find(&request.host, request.uri.path()));
         let (name, target, reply) = match found {
             None => {
-                let after = self.retry_after(self.not_ready_obstacle());
+                let after = self.retry_after(self.startup_unavailability());
                 (NO_ROUTE, None, refusal(Cause::NotReady, Some(after)))
             }
             Some(None) => (NO_ROUTE, None, refusal(Cause::NoRoute, None)),
@@ -108,10 +108,16 @@
     }
 
     async fn route(self: &Arc<Self>, route: &Route, request: Request) -> Reply {
-        let usual = self.lock().latencies.get(&route.name).and_then(LatencyPercentile::estimate);
-        let external = self.external_latency(route, &request);
-        let patience =
-            RequestTimeouts::new(route, request.deadline, usual, external, &self.settings.policy);
+        let percentile =
+            self.lock().latency_percentiles.get(&route.name).and_then(LatencyPercentile::estimate);
+        let overhead = self.caller_overhead(route, &request);
+        let timeouts = RequestTimeouts::new(
+            route,
+            request.deadline,
+            percentile,
+            overhead,
+            &self.settings.policy,
+        );
         let tally = match &route.target {
             Target::Gather(gather) => Tally::new(gather.shards.len(), gather.fewest()),
             Target::Service(_) | Target::Split(_) => Tally::new(1, 1),
@@ -121,10 +127,12 @@
         let standing = self.quarantine().standing(Instant::now(), || job.fingerprint());
         let reply = match standing {
             Standing::Condemned(left) => self.refuse_condemned(&job, left),
-            Standing::Trusted => self.dispatch(&job, &route.target, patience, None).await,
+            Standing::Trusted => self.dispatch(&job, &route.target, timeouts, None).await,
             Standing::Suspect(suspects) => {
-                match self.run_trial(&job, &route.target, &suspects, patience).await {
-                    Ok(first) => self.dispatch(&job, &route.target, patience, Some(first)).await,
+                match self.run_trial(&job, &route.target, &suspects, timeouts).await {
+                    Ok(trial_response) => {
+                        self.dispatch(&job, &route.target, timeouts, Some(trial_response)).await
+                    }
                     Err(reply) => reply,
                 }
             }
@@ -134,20 +142,22 @@
         reply
     }
 
-    /// Sends a request to the services of its route; `first` is the response of a trial, if there
-    /// was one.
+    /// Sends a request to the services of its route; `trial_response` is the response of a trial,
+    /// if there was one.
     async fn dispatch(
         self: &Arc<Self>,
         job: &Arc<Job>,
         target: &Target,
-        patience: RequestTimeouts,
-        first: Option<TrialAnswer>,
+        timeouts: RequestTimeouts,
+        trial_response: Option<TrialResponse>,
     ) -> Reply {
-        match (target, first) {
-            (Target::Gather(shards), first) => gather(self, job, shards, patience, first).await,
-            (_, Some(first)) => Reply::Forwarded(first.response),
+        match (target, trial_response) {
+            (Target::Gather(shards), trial_response) => {
+                gather(self, job, shards, timeouts, trial_response).await
+            }
+            (_, Some(trial_response)) => Reply::Forwarded(trial_response.response),
             (_, None) => match self.select_service(&job.route, target) {
-                Some(service) => self.send_to_service(job, &service, patience).await,
+                Some(service) => self.send_to_service(job, &service, timeouts).await,
                 None => refusal(Cause::NotRun, None),
             },
         }
@@ -164,23 +174,23 @@
         }
     }
 
-    /// Returns the part of the target latency spent outside this member, if it can be derived.
-    fn external_latency(&self, route: &Route, request: &Request) -> Option<Duration> {
+    /// Returns the part of the target latency spent outside this member, if it can be estimated.
+    fn caller_overhead(&self, route: &Route, request: &Request) -> Option<Duration> {
         let (deadline, target) = (request.deadline?, route.target_latency?);
         let mut state = self.lock();
-        let arrivals = state.arrivals.entry(Name::clone(&route.name)).or_default();
-        arrivals.record(deadline);
-        arrivals.estimate(deadline, target, &self.settings.policy.arrival)
+        let overhead = state.caller_overheads.entry(Name::clone(&route.name)).or_default();
+        overhead.record(deadline);
+        overhead.estimate(deadline, target, &self.settings.policy.arrival)
     }
 
     async fn send_to_service(
         self: &Arc<Self>,
         job: &Arc<Job>,
         service: &Name,
-        patience: RequestTimeouts,
+        timeouts: RequestTimeouts,
     ) -> Reply {
-        self.earn_attempts(service);
-        let plan = RacePlan::new(job, patience, &self.settings.policy);
+        self.credit_retry_budget(service);
+        let plan = RacePlan::new(job, timeouts, &self.settings.policy);
         match Race::new(self, job, service, plan).run().await {
             Ok(response) => Reply::Forwarded(response),
             Err(failure) => self.refuse_failed(job, service, failure),
@@ -189,8 +199,8 @@
 
     /// Ends a request to one service whose attempts have failed.
     pub(crate) fn refuse_failed(&self, job: &Job, service: &Name, failure: RaceFailure) -> Reply {
-        if let Some(failure) = failure.response {
-            return Reply::Forwarded(*failure);
+        if let Some(response) = failure.response {
+            return Reply::Forwarded(*response);
         }
         let cause = match () {
             () if failure.ending.did_not_run() => Cause::NotRun,
@@ -199,16 +209,16 @@
         };
         let request = &job.request.id;
         log::info!("relay: event=refused request={request:?} service={service} outcome={cause:?}");
-        let obstacle = if cause == Cause::NotRun {
-            self.missing_searcher_obstacle()
+        let unavailability = if cause == Cause::NotRun {
+            self.searcher_unavailability()
         } else {
             Unavailability::Transient
         };
-        refusal(cause, Some(self.retry_after(obstacle)))
+        refusal(cause, Some(self.retry_after(unavailability)))
     }
 
     /// Returns a randomised delay after which the caller may retry.
-    pub(crate) fn retry_after(&self, obstacle: Unavailability) -> Duration {
-        retry_delay(obstacle, &self.settings.policy.comeback, rand::rng().random())
+    pub(crate) fn retry_after(&self, unavailability: Unavailability) -> Duration {
+        retry_delay(unavailability, &self.settings.policy.comeback, rand::rng().random())
     }
 }
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -12,8 +12,8 @@
 
 use crate::settings::Settings;
 
-/// Added to the expected time of a searcher with no free connection, in milliseconds: more than any
-/// request takes, so that the searcher is chosen last.
+/// Added to the expected latency of a searcher with no free connection, in milliseconds: more than
+/// any request takes, so that the searcher is chosen last.
 const SATURATION_PENALTY_MS: f64 = 10_000.0;
 
 /// The link to one incarnation of a searcher.
@@ -23,7 +23,7 @@
     pub(crate) pool: Arc<Pool>,
     pub(crate) distance: Distance,
     policy: Arc<Policy>,
-    outlook: Mutex<LatencyEstimator>,
+    estimator: Mutex<LatencyEstimator>,
     /// When a connection was last opened in advance.
     last_prewarm: Mutex<Option<Instant>>,
     /// Whether the searcher's address was found not to be listening.
@@ -36,7 +36,7 @@
         upstream: Arc<Upstream>,
         share: usize,
         round_trip: Option<Duration>,
-        rhythm: StallPeriod,
+        stall_period: StallPeriod,
         settings: &Settings,
     ) -> Arc<Self> {
         let region = |zone: &str| settings.regions.get(zone).map(|region| &**region);
@@ -45,14 +45,14 @@
         let distance = Distance::between(here, there);
         let pool = Pool::new(settings.address, upstream.address, share, settings.connect_timeout);
         let policy = Arc::clone(&settings.policy);
-        let outlook = Mutex::new(LatencyEstimator::new(
+        let estimator = Mutex::new(LatencyEstimator::new(
             distance.initial_latency(round_trip),
             Arc::clone(&policy),
-            rhythm,
+            stall_period,
         ));
         let last_prewarm = Mutex::default();
         let ended = AtomicBool::new(false);
-        Arc::new(Self { upstream, pool, distance, policy, outlook, last_prewarm, ended })
+        Arc::new(Self { upstream, pool, distance, policy, estimator, last_prewarm, ended })
     }
 
     /// Returns whether the searcher was found to have ended.
@@ -69,13 +69,13 @@
 
     /// Returns whether the address and service of a searcher are unchanged.
     pub(crate) fn is_same_endpoint(&self, upstream: &Upstream) -> bool {
-        let of = |upstream: &Upstream| (upstream.address, Name::clone(&upstream.service));
-        of(&self.upstream) == of(upstream)
+        let endpoint = |upstream: &Upstream| (upstream.address, Name::clone(&upstream.service));
+        endpoint(&self.upstream) == endpoint(upstream)
     }
 
-    /// Returns the observed behaviour of the searcher.
-    pub(crate) fn outlook(&self) -> MutexGuard<'_, LatencyEstimator> {
-        self.outlook.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the latency estimator of the searcher.
+    pub(crate) fn estimator(&self) -> MutexGuard<'_, LatencyEstimator> {
+        self.estimator.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether a connection may be opened in advance, and if so records that one is.
@@ -88,15 +88,15 @@
         due
     }
 
-    /// Estimates the duration of one more request, in milliseconds.
+    /// Estimates the latency of one more request, in milliseconds.
     pub(crate) fn delay(&self, now: Instant) -> f64 {
-        self.outlook().delay(now, self.upstream.slots)
+        self.estimator().delay(now, self.upstream.slots)
     }
 
     /// Returns the searcher as a candidate for the choice within its service.
     pub(crate) fn candidate(self: &Arc<Self>, missing: bool, now: Instant) -> Candidate<Arc<Self>> {
         let cold = now < self.upstream.warm_at;
-        let mut expected = self.outlook().expected(now, self.upstream.slots, cold);
+        let mut expected = self.estimator().expected(now, self.upstream.slots, cold);
         if self.distance == Distance::Far && self.policy.near.on {
             expected *= self.policy.near.factor;
         }
--- a/crates/relay/src/meter.rs
+++ b/crates/relay/src/meter.rs
@@ -45,14 +45,14 @@
     latency: HistogramVec,
     attempts: IntCounterVec,
     endings: IntCounterVec,
-    pub(crate) news: IntCounterVec,
-    pub(crate) news_bytes: IntCounterVec,
-    pub(crate) unreadable: IntCounter,
+    pub(crate) store_updates: IntCounterVec,
+    pub(crate) store_update_bytes: IntCounterVec,
+    pub(crate) unreadable_records: IntCounter,
     pub(crate) quarantine: IntCounterVec,
-    pub(crate) denied: IntCounter,
+    pub(crate) denied_attempts: IntCounter,
     pub(crate) missing_parts: IntCounter,
-    pub(crate) lacking: IntCounter,
-    pub(crate) version: IntGauge,
+    pub(crate) records_lacking: IntCounter,
+    pub(crate) declaration_version: IntGauge,
     pub(crate) searchers: IntGauge,
     pub(crate) members: IntGauge,
     pub(crate) connections: IntGauge,
@@ -65,16 +65,16 @@
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntCounterVec::new(Opts::new(name, help), labels);
-            register(&registry, made.expect("the names of metrics are valid"))
+            let metric = IntCounterVec::new(Opts::new(name, help), labels);
+            register(&registry, metric.expect("the names of metrics are valid"))
         };
         let counter = |name: &str, help: &str| {
-            let made = IntCounter::with_opts(Opts::new(name, help));
-            register(&registry, made.expect("the names of metrics are valid"))
+            let metric = IntCounter::with_opts(Opts::new(name, help));
+            register(&registry, metric.expect("the names of metrics are valid"))
         };
         let gauge = |name: &str, help: &str| {
-            let made = IntGauge::with_opts(Opts::new(name, help));
-            register(&registry, made.expect("the names of metrics are valid"))
+            let metric = IntGauge::with_opts(Opts::new(name, help));
+            register(&registry, metric.expect("the names of metrics are valid"))
         };
         let latency = HistogramOpts::new("bergamot_relay_request_seconds", "Time to the answer.")
             .buckets(BUCKETS.to_vec());
@@ -96,17 +96,17 @@
                 "Attempts that brought no success, by what their end means.",
                 &["ending"],
             ),
-            news: counters(
+            store_updates: counters(
                 "bergamot_relay_news_total",
                 "Questions for news of the store by origin and result.",
                 &["origin", "result"],
             ),
-            news_bytes: counters(
+            store_update_bytes: counters(
                 "bergamot_relay_news_bytes_total",
                 "Bytes of the store's records by where they came from, and those sent on.",
                 &["way"],
             ),
-            unreadable: counter(
+            unreadable_records: counter(
                 "bergamot_relay_unreadable_records_total",
                 "Records of the store that can't be used.",
             ),
@@ -115,7 +115,7 @@
                 "What happened to requests under which searchers ended.",
                 &["event"],
             ),
-            denied: counter(
+            denied_attempts: counter(
                 "bergamot_relay_denied_total",
                 "Additional attempts that the bound did not allow.",
             ),
@@ -123,11 +123,14 @@
                 "bergamot_relay_missing_parts_total",
                 "Shards that were missing from answers.",
             ),
-            lacking: counter(
+            records_lacking: counter(
                 "bergamot_relay_records_lacking_total",
                 "Merged answers for which a member had to send more records.",
             ),
-            version: gauge("bergamot_relay_declaration_version", "The version in force."),
+            declaration_version: gauge(
+                "bergamot_relay_declaration_version",
+                "The version in force.",
+            ),
             searchers: gauge("bergamot_relay_searchers", "Searchers that are known."),
             members: gauge("bergamot_relay_members", "Members that share the searchers."),
             connections: gauge("bergamot_relay_connections", "Open connections to searchers."),
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -28,7 +28,7 @@
 
 /// The response to a trial of a request at a single searcher.
 #[derive(Debug)]
-pub(crate) struct TrialAnswer {
+pub(crate) struct TrialResponse {
     /// The service of the searcher.
     pub(crate) service: Name,
     /// The response.
@@ -102,13 +102,13 @@
         job: &Arc<Job>,
         target: &Target,
         suspects: &[Name],
-        patience: RequestTimeouts,
-    ) -> Result<TrialAnswer, Reply> {
+        timeouts: RequestTimeouts,
+    ) -> Result<TrialResponse, Reply> {
         let (request, fingerprint) = (&job.request.id, job.fingerprint());
         let service = self.trial_service(job, target, suspects);
         let Some(service) = service.filter(|service| self.choose_searcher(service, &[]).is_some())
         else {
-            let after = self.retry_after(self.missing_searcher_obstacle());
+            let after = self.retry_after(self.searcher_unavailability());
             return Err(refusal(Cause::NotRun, Some(after)));
         };
         if !self.request_trial_grant(fingerprint).await {
@@ -120,13 +120,13 @@
         }
         self.meter().quarantine.with_label_values(&["tried"]).inc();
         if !matches!(target, Target::Gather(_)) {
-            self.earn_attempts(&service);
+            self.credit_retry_budget(&service);
         }
-        let plan = RacePlan::new(job, patience, &self.settings.policy).single_attempt();
+        let plan = RacePlan::new(job, timeouts, &self.settings.policy).single_attempt();
         match Race::new(self, job, &service, plan).run().await {
             Ok(response) => {
                 self.clear_suspicion(job, std::slice::from_ref(&service));
-                Ok(TrialAnswer { service, response })
+                Ok(TrialResponse { service, response })
             }
             Err(failure) => Err(self.refuse_failed(job, &service, failure)),
         }
@@ -138,13 +138,15 @@
         let Target::Gather(gather) = target else {
             return self.select_service(&job.route, target);
         };
-        let known = gather.shards.iter().filter(|shard| suspects.contains(shard));
-        let known: Vec<&Name> = known.collect();
-        let of = if known.is_empty() { gather.shards.iter().collect() } else { known };
-        let spare = |service: &&Name| self.count_live_searchers(service);
-        let most = of.iter().map(spare).max()?;
-        let of: Vec<&Name> = of.into_iter().filter(|service| spare(service) == most).collect();
-        of.choose(&mut rand::rng()).copied().map(Name::clone)
+        let suspected: Vec<&Name> =
+            gather.shards.iter().filter(|shard| suspects.contains(shard)).collect();
+        let candidates =
+            if suspected.is_empty() { gather.shards.iter().collect() } else { suspected };
+        let live = |service: &&Name| self.count_live_searchers(service);
+        let max_live = candidates.iter().map(live).max()?;
+        let candidates: Vec<&Name> =
+            candidates.into_iter().filter(|service| live(service) == max_live).collect();
+        candidates.choose(&mut rand::rng()).copied().map(Name::clone)
     }
 
     /// Counts the searchers of a service that accept work and were not found to have ended.
@@ -164,9 +166,9 @@
         if trial_owner == own {
             return self.quarantine().grant_trial(Instant::now(), fingerprint);
         }
-        let asked =
+        let granted =
             (self.helping().grant)(trial_owner, fingerprint, Instant::now() + GRANT_TIMEOUT).await;
-        asked.unwrap_or_else(|cause| {
+        granted.unwrap_or_else(|cause| {
             log::info!("relay: event=grant_failed member={trial_owner} cause=\"{cause}\"");
             false
         })
--- a/crates/relay/src/race.rs
+++ b/crates/relay/src/race.rs
@@ -1,7 +1,7 @@
 //! The attempts for one request at one service: the first, hedges, and retries after failures.
 //!
 //! Invariants: at most as many searchers may run the request as the route allows; each delivery
-//! beyond the first is charged to the service's attempt budget; a non-idempotent request has one
+//! beyond the first is charged to the service's retry budget; a non-idempotent request has one
 //! attempt at a time, and another only if the request is known not to have run; once a searcher has
 //! ended while running the request, further attempts must pass a gate shared by all its shards.
 
@@ -58,10 +58,10 @@
 pub(crate) struct RacePlan {
     /// The time by which the first attempt must have a connection.
     pub(crate) connect_by: Instant,
-    /// When to hedge if no response has been received, if hedging is allowed.
+    /// When to hedge if there is no response yet; `None` if hedging is not allowed.
     pub(crate) hedge_at: Option<Instant>,
     /// The time by which nearly all nearby searchers have answered.
-    pub(crate) usual_by: Instant,
+    pub(crate) expected_response_by: Instant,
     /// The time after which the response is no longer useful.
     pub(crate) deadline: Instant,
     /// The searchers already asked for this request.
@@ -72,16 +72,16 @@
 
 impl RacePlan {
     /// Creates the plan for a request that was just received.
-    pub(crate) fn new(job: &Job, patience: RequestTimeouts, policy: &Policy) -> Self {
+    pub(crate) fn new(job: &Job, timeouts: RequestTimeouts, policy: &Policy) -> Self {
         let at = |moment: Duration| job.request.received + moment;
         let hedges = policy.hedge.on && job.kind == Kind::Idempotent;
-        let hedge_at = hedges.then(|| at(patience.hedge));
-        let (connect_by, usual_by) = (at(patience.connect), at(patience.hedge));
+        let hedge_at = hedges.then(|| at(timeouts.hedge));
+        let (connect_by, expected_response_by) = (at(timeouts.connect), at(timeouts.hedge));
         Self {
             connect_by,
             hedge_at,
-            usual_by,
-            deadline: at(patience.end),
+            expected_response_by,
+            deadline: at(timeouts.end),
             tried: Vec::new(),
             single_attempt: false,
         }
@@ -98,7 +98,7 @@
 enum StartResult {
     /// The attempt is running.
     Started,
-    /// The service's attempt budget is exhausted.
+    /// The service's retry budget is exhausted.
     Denied,
     /// No searcher is left, or the route allows no more attempts.
     Exhausted,
@@ -113,7 +113,7 @@
     running: Vec<Attempt>,
     delivered: usize,
     not_run: usize,
-    /// Whether an attempt was denied by the attempt budget.
+    /// Whether an attempt was denied by the retry budget.
     budget_denied: bool,
     finished: bool,
     /// Whether the current attempt is the trial that decides for all shards whether the request
@@ -161,12 +161,12 @@
     async fn run_attempts(&mut self) -> Option<SearcherResponse> {
         let deadline = self.plan.deadline;
         let mut hedge_at = self.plan.hedge_at;
-        let first = if self.delivered > 0 { AttemptReason::Hedge } else { AttemptReason::First };
-        if first != AttemptReason::First && !self.pass_retry_gate().await {
+        let reason = if self.delivered > 0 { AttemptReason::Hedge } else { AttemptReason::First };
+        if reason != AttemptReason::First && !self.pass_retry_gate().await {
             return None;
         }
-        let need = self.hedge_need();
-        if self.start_next(first, need) != StartResult::Started {
+        let priority = self.hedge_priority();
+        if self.start_next(reason, priority) != StartResult::Started {
             return None;
         }
         loop {
@@ -195,27 +195,27 @@
                         return None;
                     }
                     hedge_at = None;
-                    let need = self.hedge_need();
+                    let priority = self.hedge_priority();
                     if self.job.retry_gate.is_unrestricted() {
-                        self.start_next(AttemptReason::Hedge, need);
+                        self.start_next(AttemptReason::Hedge, priority);
                     }
                 }
             }
         }
     }
 
-    /// Makes the next attempt now if the budget is ample, otherwise once it is known that the
-    /// request fails without it.
+    /// Makes the next attempt now if the retry budget grants it, otherwise once it is known that
+    /// the request fails without it.
     async fn retry(&mut self) -> bool {
         if !self.pass_retry_gate().await {
             return false;
         }
-        let need = if self.job.tally().is_single_searcher() {
+        let priority = if self.job.tally().is_single_searcher() {
             AttemptPriority::Required
         } else {
             AttemptPriority::Optional
         };
-        match self.start_next(AttemptReason::Retry, need) {
+        match self.start_next(AttemptReason::Retry, priority) {
             StartResult::Started => true,
             StartResult::Exhausted => false,
             StartResult::Denied => {
@@ -265,7 +265,8 @@
             }
         };
         self.job.tally_changed.notify_waiters();
-        let until = (self.plan.usual_by + self.relay.max_member_delay()).max(Instant::now());
+        let until =
+            (self.plan.expected_response_by + self.relay.max_member_delay()).max(Instant::now());
         let _elapsed = tokio::time::timeout_at(until.into(), wait).await;
         let mut tally = self.job.tally();
         let needed = tally.needs_deferred();
@@ -298,13 +299,13 @@
 
     fn may_retry(&self) -> bool {
         let policy = self.relay.settings.policy.retry;
-        let resends = policy.on && self.worst.ending.may_resend(self.job.kind);
-        let shown = self.plan.single_attempt && !self.worst.ending.did_not_run();
-        resends && !shown && self.not_run <= policy.most_refused
+        let may_resend = policy.on && self.worst.ending.may_resend(self.job.kind);
+        let trial_may_have_run = self.plan.single_attempt && !self.worst.ending.did_not_run();
+        may_resend && !trial_may_have_run && self.not_run <= policy.most_refused
     }
 
-    /// Returns whether the request depends on a hedge.
-    fn hedge_need(&self) -> AttemptPriority {
+    /// Returns the priority of a hedge: required if the request fails without one.
+    fn hedge_priority(&self) -> AttemptPriority {
         if self.job.tally().is_below_coverage() {
             AttemptPriority::Required
         } else {
@@ -313,15 +314,15 @@
     }
 
     /// Starts the next attempt if a searcher is left and the limits allow it.
-    fn start_next(&mut self, reason: AttemptReason, need: AttemptPriority) -> StartResult {
-        let ran = self.plan.tried.len() - self.not_run;
-        if ran >= self.job.max_attempts {
+    fn start_next(&mut self, reason: AttemptReason, priority: AttemptPriority) -> StartResult {
+        let may_have_run = self.plan.tried.len() - self.not_run;
+        if may_have_run >= self.job.max_attempts {
             return StartResult::Exhausted;
         }
         let Some(link) = self.relay.choose_searcher(self.service, &self.plan.tried) else {
             return StartResult::Exhausted;
         };
-        if self.delivered > 0 && !self.relay.spend_attempt(self.service, need) {
+        if self.delivered > 0 && !self.relay.spend_retry_budget(self.service, priority) {
             self.budget_denied = true;
             return StartResult::Denied;
         }
@@ -329,8 +330,10 @@
         self.delivered += 1;
         self.plan.tried.push(TriedSearcher::Known(link.upstream.incarnation.clone()));
         // Later attempts have as much time to find a connection as the first.
-        let found = self.plan.connect_by.saturating_duration_since(self.job.request.received);
-        let connect_by = self.plan.connect_by.max(Instant::now() + found).min(self.plan.deadline);
+        let connect_timeout =
+            self.plan.connect_by.saturating_duration_since(self.job.request.received);
+        let connect_by =
+            self.plan.connect_by.max(Instant::now() + connect_timeout).min(self.plan.deadline);
         let trial = self.plan.single_attempt || self.trial;
         let limits = AttemptLimits { connect_by, deadline: self.plan.deadline, trial };
         let results = self.results.0.clone();
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -34,17 +34,17 @@
     state: Mutex<State>,
     delegates: Mutex<DelegateMembers>,
     helping: Helping,
-    /// Whether new requests must wait for a store update because the process was paused, and since
-    /// when.
+    /// Makes new requests wait for a store update after the process was paused.
     awake: Awake,
+    /// When the last pause was detected, until a store update requested after it is received.
     woke_at: Mutex<Option<Instant>>,
     pub(crate) pending: Mutex<PendingResults>,
     /// Whether a request was received before the first declaration.
     early_request: AtomicBool,
     /// Searcher changes that have not been logged yet.
     changes: Mutex<Changes>,
-    /// The period of the searchers' pauses.
-    pub(crate) rhythm: StallPeriod,
+    /// The period at which searchers stall, shared by all links.
+    pub(crate) stall_period: StallPeriod,
     /// Requests suspected or known to crash searchers.
     quarantine: Arc<Quarantine>,
 }
@@ -65,7 +65,7 @@
         let (pending, changes) = (Mutex::default(), Mutex::default());
         let awake = Awake::new(settings.pause_threshold);
         let (meter, woke_at) = (Meter::new(), Mutex::default());
-        let rhythm = StallPeriod::default();
+        let stall_period = StallPeriod::default();
         Arc::new(Self {
             settings,
             dialect,
@@ -78,7 +78,7 @@
             pending,
             early_request: AtomicBool::new(false),
             changes,
-            rhythm,
+            stall_period,
             quarantine: Arc::default(),
         })
     }
@@ -142,10 +142,12 @@
     /// Formats the current state, with one line for each searcher.
     pub fn dump(&self) -> String {
         let state = self.lock();
-        let away = state.store_unavailable_since.is_some();
+        let store_unavailable = state.store_unavailable_since.is_some();
         let version = state.version_floor.revision();
-        let mut text =
-            format!("declaration {version} members {} store_away {away}\n", state.members);
+        let mut text = format!(
+            "declaration {version} members {} store_away {store_unavailable}\n",
+            state.members
+        );
         for mechanism in self.settings.policy.mechanisms() {
             let state = if mechanism.on { "on" } else { "off" };
             let _ = writeln!(text, "mechanism {} {state}", mechanism.name);
@@ -177,8 +179,12 @@
 
     /// Logs a summary of the counters.
     pub fn log_summary(&self) {
-        let latencies: Vec<String> =
-            self.lock().latencies.iter().map(|(route, pace)| format!("{route}:{pace}")).collect();
+        let latencies: Vec<String> = self
+            .lock()
+            .latency_percentiles
+            .iter()
+            .map(|(route, percentile)| format!("{route}:{percentile}"))
+            .collect();
         log::info!("relay: event=summary {} usual={latencies:?}", self.meter.summary());
     }
 
@@ -192,10 +198,10 @@
             let names: HashSet<&Name> =
                 declaration.routes.iter().map(|route| &route.name).collect();
             state.splits.retain(|name, _| names.contains(name));
-            state.latencies.retain(|name, _| names.contains(name));
-            state.arrivals.retain(|name, _| names.contains(name));
+            state.latency_percentiles.retain(|name, _| names.contains(name));
+            state.caller_overheads.retain(|name, _| names.contains(name));
             self.meter.forget_routes();
-            self.meter.version.set(version as i64);
+            self.meter.declaration_version.set(version as i64);
             state.declaration = Some(Arc::new(declaration));
             Self::resize_pools(&state);
         }
@@ -315,8 +321,9 @@
         self.early_request.load(Ordering::Relaxed)
     }
 
-    /// Returns why there is no declaration yet.
-    pub(crate) fn not_ready_obstacle(&self) -> Unavailability {
+    /// Returns why requests can't be served yet: there is no declaration, or the quarantine is not
+    /// synchronised.
+    pub(crate) fn startup_unavailability(&self) -> Unavailability {
         self.early_request.store(true, Ordering::Relaxed);
         if self.lock().store_unavailable_since.is_some() {
             Unavailability::StoreOutage
@@ -327,7 +334,7 @@
 
     /// Returns why searchers are missing. After a store outage, the entry of a live searcher
     /// returns with its next heartbeat.
-    pub(crate) fn missing_searcher_obstacle(&self) -> Unavailability {
+    pub(crate) fn searcher_unavailability(&self) -> Unavailability {
         let since = self.lock().store_recovered_at.map(|recovered_at| recovered_at.elapsed());
         let left = since.map(|since| self.settings.heartbeat.saturating_sub(since));
         left.filter(|left| !left.is_zero())
@@ -354,10 +361,10 @@
         !self.awake.is_awake(Instant::now())
     }
 
-    /// Records that an update requested at `asked` was received.
-    pub fn note_store_update(&self, asked: Instant) {
+    /// Records that an update requested at `requested_at` was received.
+    pub fn note_store_update(&self, requested_at: Instant) {
         let mut woke_at = self.woke_at.lock().unwrap_or_else(PoisonError::into_inner);
-        if woke_at.is_some_and(|woke_at| asked >= woke_at) {
+        if woke_at.is_some_and(|woke_at| requested_at >= woke_at) {
             *woke_at = None;
             self.awake.caught_up();
         }
@@ -365,18 +372,18 @@
 
     /// Counts a request for store updates by origin and result, and the bytes received.
     pub fn count_store_update(&self, origin: &str, result: &str, bytes: usize) {
-        self.meter.news.with_label_values(&[origin, result]).inc();
-        self.meter.news_bytes.with_label_values(&[origin]).inc_by(bytes as u64);
+        self.meter.store_updates.with_label_values(&[origin, result]).inc();
+        self.meter.store_update_bytes.with_label_values(&[origin]).inc_by(bytes as u64);
     }
 
     /// Counts an unreadable record of the store.
     pub fn count_unreadable(&self) {
-        self.meter.unreadable.inc();
+        self.meter.unreadable_records.inc();
     }
 
     /// Sets the total number of update bytes that this member has sent to others.
     pub fn set_update_bytes_sent(&self, bytes: u64) {
-        let sent = self.meter.news_bytes.with_label_values(&["sent"]);
+        let sent = self.meter.store_update_bytes.with_label_values(&["sent"]);
         sent.inc_by(bytes.saturating_sub(sent.get()));
     }
 
@@ -396,8 +403,8 @@
         self.detect_pause();
         self.quarantine.expire(Instant::now());
         let mut state = self.lock();
-        let away = state.store_unavailable_since.is_some();
-        for searcher in state.registry.expire(Instant::now(), away) {
+        let store_unavailable = state.store_unavailable_since.is_some();
+        for searcher in state.registry.expire(Instant::now(), store_unavailable) {
             self.lock_changes().note(Instant::now(), "gone", searcher);
         }
         let changed = state.members != members;
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -1,4 +1,4 @@
-//! The known searchers: selection, connections, and the budget for additional attempts.
+//! The known searchers: selection, connections, and the retry budgets.
 //!
 //! Invariant: a link exists as long as its incarnation is in the registry, so that observations of
 //! one incarnation are never applied to another.
@@ -21,14 +21,14 @@
 use crate::settings::Settings;
 use crate::state::{State, connection_share};
 
-/// Returns a short hash that identifies an incarnation within its shard.
+/// Returns a 32-bit hash that identifies an incarnation within its shard.
 fn short_hash(searcher: &Incarnation) -> u32 {
     hash_bytes(searcher.to_string().as_bytes()) as u32
 }
 
 /// Returns whether a searcher was already asked.
 fn was_tried(tried: &[TriedSearcher], searcher: &Incarnation) -> bool {
-    tried.iter().any(|tried| matches!(tried, TriedSearcher::Known(asked) if asked == searcher))
+    tried.iter().any(|tried| matches!(tried, TriedSearcher::Known(known) if known == searcher))
 }
 
 impl Relay {
@@ -87,28 +87,34 @@
         share: usize,
     ) -> Arc<SearcherLink> {
         let round_trip = round_trips.round_trip(&upstream.zone);
-        let make = || {
+        let create_link = || {
             let upstream = Arc::clone(upstream);
-            SearcherLink::new(upstream, share, round_trip, self.rhythm.clone(), &self.settings)
+            SearcherLink::new(
+                upstream,
+                share,
+                round_trip,
+                self.stall_period.clone(),
+                &self.settings,
+            )
         };
-        let link = links.entry(upstream.incarnation.clone()).or_insert_with(make);
+        let link = links.entry(upstream.incarnation.clone()).or_insert_with(create_link);
         if !link.is_same_endpoint(upstream) {
             // The existing connections lead to the previous address.
             link.pool.close();
-            *link = make();
+            *link = create_link();
         }
         Arc::clone(link)
     }
 
     /// Records a searcher failure reported by the member that sent the request for this one.
-    pub(crate) fn note_failure(&self, searcher: &Incarnation) {
+    pub(crate) fn record_searcher_failure(&self, searcher: &Incarnation) {
         if let Some(link) = self.lock().links.get(searcher) {
-            link.outlook().record_failure(Instant::now());
+            link.estimator().record_failure(Instant::now());
         }
     }
 
-    /// Returns the expected pauses of searchers near this member.
-    pub(crate) fn expected_silences(&self, shards: &[Name]) -> Vec<QuietPeriod> {
+    /// Returns the expected stalls of the searchers near this member.
+    pub(crate) fn expected_stalls(&self, shards: &[Name]) -> Vec<QuietPeriod> {
         let now = Instant::now();
         let state = self.lock();
         let mut quiet = Vec::new();
@@ -117,18 +123,19 @@
             let links =
                 known.filter_map(|(upstream, _missing)| state.links.get(&upstream.incarnation));
             for link in links.filter(|link| link.distance != Distance::Far) {
-                let Some((begin, end)) = link.outlook().next_stall(now) else { continue };
-                let ms = |moment: Instant| moment.saturating_duration_since(now).as_millis() as u32;
+                let Some((begin, end)) = link.estimator().next_stall(now) else { continue };
+                let ms_from_now =
+                    |at: Instant| at.saturating_duration_since(now).as_millis() as u32;
                 let searcher = short_hash(&link.upstream.incarnation);
-                let (begins_ms, ends_ms) = (ms(begin), ms(end));
+                let (begins_ms, ends_ms) = (ms_from_now(begin), ms_from_now(end));
                 quiet.push(QuietPeriod { index: index as u32, searcher, begins_ms, ends_ms });
             }
         }
         quiet
     }
 
-    /// Applies an expected pause of a searcher that was reported by another member.
-    pub(crate) fn apply_expected_silence(&self, shard: &str, quiet: QuietPeriod) {
+    /// Applies an expected stall of a searcher that was reported by another member.
+    pub(crate) fn apply_reported_stall(&self, shard: &str, quiet: QuietPeriod) {
         let now = Instant::now();
         let at = |ms: u32| now + Duration::from_millis(u64::from(ms));
         let state = self.lock();
@@ -138,19 +145,19 @@
         if let Some(link) =
             links.find(|link| short_hash(&link.upstream.incarnation) == quiet.searcher)
         {
-            link.outlook().set_reported_stall(at(quiet.begins_ms), at(quiet.ends_ms));
+            link.estimator().set_reported_stall(at(quiet.begins_ms), at(quiet.ends_ms));
         }
     }
 
-    /// Records the latency of an answered attempt for a route.
+    /// Records the latency of a successful attempt for a route.
     pub(crate) fn record_latency(&self, route: &Name, took: Duration) {
-        let usual = self.settings.policy.hedge.percentile;
+        let percentile = self.settings.policy.hedge.percentile;
         let mut state = self.lock();
-        let pace = state
-            .latencies
+        let latency_percentile = state
+            .latency_percentiles
             .entry(Name::clone(route))
-            .or_insert_with(|| LatencyPercentile::new(usual));
-        pace.record(took);
+            .or_insert_with(|| LatencyPercentile::new(percentile));
+        latency_percentile.record(took);
     }
 
     /// Opens connections in advance to searchers that have none.
@@ -200,7 +207,7 @@
 
     /// Records that records left out by a member were needed.
     pub(crate) fn note_records_lacking(&self) {
-        self.meter.lacking.inc();
+        self.meter.records_lacking.inc();
         self.lock().records_lacking_at = Some(Instant::now());
     }
 
@@ -219,22 +226,24 @@
         }
     }
 
-    /// Credits the attempt budget of a service for a request.
-    pub(crate) fn earn_attempts(&self, service: &Name) {
+    /// Credits the retry budget of a service for one request.
+    pub(crate) fn credit_retry_budget(&self, service: &Name) {
         let now = Instant::now();
-        let terms = &self.settings.terms;
-        self.lock().allowance(service, now).record_request(now, terms);
+        let limits = &self.settings.terms;
+        self.lock().retry_budget(service, now).record_request(now, limits);
     }
 
-    /// Charges one additional attempt to the budget of a service. Returns whether it was granted.
-    pub(crate) fn spend_attempt(&self, service: &Name, need: AttemptPriority) -> bool {
+    /// Charges one additional attempt to the retry budget of a service. Returns whether it
+    /// was granted.
+    pub(crate) fn spend_retry_budget(&self, service: &Name, priority: AttemptPriority) -> bool {
         let now = Instant::now();
         let mut state = self.lock();
         let members = state.members;
-        let Settings { terms, policy, .. } = &self.settings;
-        let granted = state.allowance(service, now).try_spend(now, terms, policy, members, need);
+        let Settings { terms: limits, policy, .. } = &self.settings;
+        let granted =
+            state.retry_budget(service, now).try_spend(now, limits, policy, members, priority);
         if !granted {
-            self.meter.denied.inc();
+            self.meter.denied_attempts.inc();
         }
         granted
     }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -10,7 +10,7 @@
 use bergamot_policy::Policy;
 
 /// The number of missed heartbeats after which a searcher's entry expires.
-const HEARTBEATS: u32 = 3;
+const EXPIRY_HEARTBEATS: u32 = 3;
 
 /// The settings of a relay.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     pub zone: Name,
     /// The region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
-    /// The limit on additional attempts for each service, across all members.
+    /// The limits of the retry budget of each service, across all members.
     pub terms: RetryBudgetLimits,
     /// The interval at which searchers renew their entries in the store.
     pub heartbeat: Duration,
@@ -55,6 +55,6 @@
 impl Settings {
     /// Returns the time after the last heartbeat at which a searcher's entry expires.
     pub(crate) fn expiry(&self) -> Duration {
-        self.heartbeat * HEARTBEATS
+        self.heartbeat * EXPIRY_HEARTBEATS
     }
 }
--- a/crates/relay/src/shard_query.rs
+++ b/crates/relay/src/shard_query.rs
@@ -91,12 +91,12 @@
             Err(error) => {
                 relay.meter().count_ending(error.ending);
                 if let ShardOutcome::Silent(searcher) = &shards[index] {
-                    let fate = if error.searcher_ended {
+                    let failed_outcome = if error.searcher_ended {
                         ShardOutcome::Ended
                     } else {
                         ShardOutcome::Failed
                     };
-                    shards[index] = fate(searcher.clone());
+                    shards[index] = failed_outcome(searcher.clone());
                 }
             }
         }
@@ -105,7 +105,7 @@
     let mut records = merge_top_k(&parts, top_k);
     let others = records.split_off(enough.min(records.len()));
     let left_out = if others.is_empty() { 0 } else { store_left_out(relay, others) };
-    let quiet = relay.expected_silences(&names);
+    let quiet = relay.expected_stalls(&names);
     ShardReply { shards, records, left_out, rest, quiet }
 }
 
@@ -163,12 +163,12 @@
 fn remove_after(
     relay: &Arc<Relay>,
     time: Duration,
-    forget: impl FnOnce(&mut PendingResults) + Send + 'static,
+    remove: impl FnOnce(&mut PendingResults) + Send + 'static,
 ) {
     let relay = Arc::clone(relay);
     tokio::spawn(async move {
         tokio::time::sleep(time).await;
-        relay.with_pending(forget);
+        relay.with_pending(remove);
     });
 }
 
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -36,9 +36,9 @@
     pub(crate) round_trips: ZoneRoundTrips,
     pub(crate) links: HashMap<Incarnation, Arc<SearcherLink>>,
     pub(crate) splits: HashMap<Name, Split>,
-    pub(crate) allowances: HashMap<Name, RetryBudget>,
-    pub(crate) latencies: HashMap<Name, LatencyPercentile>,
-    pub(crate) arrivals: HashMap<Name, CallerOverhead>,
+    pub(crate) retry_budgets: HashMap<Name, RetryBudget>,
+    pub(crate) latency_percentiles: HashMap<Name, LatencyPercentile>,
+    pub(crate) caller_overheads: HashMap<Name, CallerOverhead>,
     pub(crate) log_sampler: Sampler,
     pub(crate) members: usize,
     /// All members that serve requests, including this one.
@@ -61,9 +61,9 @@
             round_trips: ZoneRoundTrips::default(),
             links: HashMap::new(),
             splits: HashMap::new(),
-            allowances: HashMap::new(),
-            latencies: HashMap::new(),
-            arrivals: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            latency_percentiles: HashMap::new(),
+            caller_overheads: HashMap::new(),
             log_sampler: Sampler::new(MAX_ORDINARY_LOG_LINES),
             members: 1,
             serving_members: Vec::new(),
@@ -73,8 +73,8 @@
         }
     }
 
-    pub(crate) fn allowance(&mut self, service: &Name, now: Instant) -> &mut RetryBudget {
-        self.allowances.entry(Name::clone(service)).or_insert_with(|| RetryBudget::new(now))
+    pub(crate) fn retry_budget(&mut self, service: &Name, now: Instant) -> &mut RetryBudget {
+        self.retry_budgets.entry(Name::clone(service)).or_insert_with(|| RetryBudget::new(now))
     }
 }
 
--- a/crates/relay/tests/awake.rs
+++ b/crates/relay/tests/awake.rs
@@ -14,7 +14,7 @@
 const PAUSE: Duration = Duration::from_millis(1200);
 
 #[tokio::test]
-async fn after_a_pause_a_searcher_that_left_meanwhile_gets_nothing() {
+async fn a_searcher_that_drained_during_a_pause_receives_no_request() {
     let a = part(1).await;
     let target = Target::Service("a".into());
     let routes = vec![route("/one/", Kind::NonIdempotent, target)];
@@ -27,8 +27,9 @@
     // The request is read before the pause is detected and before the update arrives.
     tokio::task::yield_now().await;
     relay.tick(1, false);
-    let left = bergamot_registry::Upstream { state: State::Draining, ..upstream("i1", "a", &a) };
-    relay.with_registry(|registry| registry.publish(left, Instant::now()));
+    let draining =
+        bergamot_registry::Upstream { state: State::Draining, ..upstream("i1", "a", &a) };
+    relay.with_registry(|registry| registry.publish(draining, Instant::now()));
     relay.note_store_update(Instant::now());
     let reply = response.await.expect("request task panicked");
     assert!(matches!(reply, Reply::Refused(refusal) if refusal.cause == Cause::NotRun));
@@ -36,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn news_that_was_asked_for_before_the_pause_does_not_count() {
+async fn an_update_requested_before_the_pause_does_not_end_the_wait() {
     let a = part(1).await;
     let routes = vec![route("/one/", Kind::NonIdempotent, Target::Service("a".into()))];
     let relay = relay_with_short_pause(routes, vec![upstream("i1", "a", &a)]);
@@ -54,7 +55,7 @@
 /// With the store unreachable and no update at any other member, requests proceed with the known
 /// state and do not each wait for the same update.
 #[tokio::test]
-async fn a_pause_without_news_after_it_holds_requests_once() {
+async fn without_an_update_after_a_pause_requests_wait_only_once() {
     let a = part(1).await;
     let routes = vec![route("/one/", Kind::NonIdempotent, Target::Service("a".into()))];
     let relay = relay_with_short_pause(routes, vec![upstream("i1", "a", &a)]);
--- a/crates/relay/tests/fatal.rs
+++ b/crates/relay/tests/fatal.rs
@@ -122,7 +122,7 @@
 
 /// A searcher that resets connections but is still listening has not ended.
 #[tokio::test]
-async fn a_request_whose_connections_are_reset_is_not_held_against_it() {
+async fn a_request_whose_connections_are_reset_is_not_quarantined() {
     let mut all = Vec::new();
     for service in ["a", "b", "c", "d"] {
         all.push((service, script(|_| vec![Step::Reset]).await));
@@ -138,7 +138,7 @@
 /// An instance that has just started does not know the verdicts of the others and would forward
 /// condemned requests.
 #[tokio::test]
-async fn an_instance_that_was_not_told_of_verdicts_takes_no_request() {
+async fn an_instance_without_the_verdicts_of_the_others_refuses_requests() {
     let all = searchers(&["a"], 1).await;
     let relay = relay_for(&all, Target::Service("a".into()));
     relay.quarantine().set_synced(false);
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -53,8 +53,8 @@
     ];
     let routes = vec![route("/q/", Kind::Idempotent, gather(&["a", "b"], 0.5))];
     let relay = relay_with_members(helping, routes, upstreams);
-    let helper = |ip, zone: &str| DelegateMember { ip, zone: zone.into(), region: zone.into() };
-    relay.set_delegate_members(vec![helper(MEMBER, "west"), helper(MEMBER, "east")]);
+    let delegate = |ip, zone: &str| DelegateMember { ip, zone: zone.into(), region: zone.into() };
+    relay.set_delegate_members(vec![delegate(MEMBER, "west"), delegate(MEMBER, "east")]);
     relay
 }
 
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_shard_that_comes_in_later_at_the_member_is_taken_once() {
+async fn a_shard_that_arrives_late_at_the_member_is_included_once() {
     let (west, east) = (part(1).await, part(2).await);
     let shards =
         vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::Silent(incarnation("b-west"))];
@@ -127,21 +127,21 @@
 }
 
 #[tokio::test]
-async fn records_that_a_member_left_out_are_not_fetched_if_they_can_not_be() {
+async fn records_that_a_member_left_out_are_not_fetched_if_they_cannot_be_among_the_greatest() {
     // All records left out are at most 1, and the response holds two records.
     let answer = merge_with_left_out(1, 8).await;
     assert_eq!(&*answer.records, [record(2), record(1)].concat());
 }
 
 #[tokio::test]
-async fn a_shard_whose_records_can_not_be_had_whole_is_left_out() {
+async fn a_shard_whose_left_out_records_cannot_be_fetched_is_dropped() {
     let answer = merge_with_left_out(9, 9).await;
     assert_eq!(&*answer.records, record(2));
     assert_eq!((answer.signatures.len(), answer.missing), (1, 1));
 }
 
 #[tokio::test]
-async fn a_searcher_of_which_a_member_expects_silence_is_passed_over() {
+async fn a_searcher_with_a_stall_reported_by_a_member_is_avoided() {
     let (west, east) = (part(1).await, part(2).await);
     let shards = vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::In(b"s2".to_vec())];
     let searcher = hash_bytes(b"a-west") as u32;
--- a/crates/relay/tests/many.rs
+++ b/crates/relay/tests/many.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn a_partial_answer_goes_out_at_the_target_and_says_what_is_missing() {
+async fn a_partial_response_is_sent_at_the_target_latency_with_the_missing_count() {
     let (a, b) = (part(1).await, part(2).await);
     let silent = script(|_| vec![Step::Hang]).await;
     let upstreams =
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn below_its_coverage_a_request_fails_as_soon_as_that_is_certain() {
+async fn a_request_fails_as_soon_as_its_coverage_is_unreachable() {
     let a = part(1).await;
     let refusing = script(|_| not_run("503 Service Unavailable")).await;
     let upstreams = vec![
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_takes_the_place_of_a_silent_one() {
+async fn a_silent_replica_is_replaced_by_another() {
     let (a, b) = (part(1).await, part(2).await);
     let silent = script(|_| vec![Step::Hang]).await;
     let upstreams =
@@ -87,7 +87,7 @@
 /// Under load the shards left out are those with the longest queues, where abandoned work occupies
 /// slots needed for requests that could still be served.
 #[tokio::test]
-async fn the_work_for_a_shard_that_an_answer_leaves_out_is_cut() {
+async fn attempts_for_a_shard_left_out_of_the_response_are_cancelled() {
     let (a, b) = (part(1).await, part(2).await);
     // This searcher answers some time after the response was sent without it.
     let slow = script(|seen| {
--- a/crates/relay/tests/one.rs
+++ b/crates/relay/tests/one.rs
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_searchers_own_failure_is_passed_on_with_its_status() {
+async fn an_error_response_of_a_searcher_is_forwarded_with_its_status() {
     let failing =
         |seen: &Seen| vec![Step::Send(reply(seen, "500 Internal Server Error", "sig", b"no"))];
     let one = script(failing).await;
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn the_searcher_is_left_when_the_caller_leaves() {
+async fn the_searcher_connection_is_closed_when_the_caller_disconnects() {
     let silent = script(|_| vec![Step::Hang]).await;
     let relay = relay(
         vec![route("/a/", Kind::NonIdempotent, service())],
--- a/crates/relay/tests/reborn.rs
+++ b/crates/relay/tests/reborn.rs
@@ -1,4 +1,4 @@
-//! A searcher restarts under the same identifier while requests are on their way to it.
+//! A searcher restarts under the same identifier while requests to it are in flight.
 
 mod support;
 
@@ -36,9 +36,9 @@
     }
 }
 
-/// A connection kept from the previous start must not be used for the next one.
+/// A connection kept from the previous incarnation must not be used for the next one.
 #[tokio::test]
-async fn the_next_start_gets_connections_of_its_own() {
+async fn the_next_incarnation_gets_its_own_connections() {
     let (previous, next) = (answering(b"former").await, answering(b"next").await);
     let relay = relay_with_service(Kind::NonIdempotent, vec![started_at(1, &previous)]);
     assert_eq!(body(relay.handle(request("/a/")).await), b"former");
@@ -48,9 +48,9 @@
     assert_eq!(previous.seen().len(), 1);
 }
 
-/// Observations of the previous start are not applied to the next one.
+/// Observations of the previous incarnation are not applied to the next one.
 #[tokio::test]
-async fn the_next_start_is_not_judged_by_what_the_former_did() {
+async fn the_next_incarnation_does_not_inherit_observations() {
     let failing = script(|_| vec![Step::Reset]).await;
     let other = answering(b"other").await;
     let relay = relay_with_service(
@@ -65,13 +65,13 @@
     for _ in 0..6 {
         relay.handle(request("/a/")).await;
     }
-    assert!(!next.seen().is_empty(), "the next start is avoided");
+    assert!(!next.seen().is_empty(), "the next incarnation is avoided");
 }
 
-/// The request was sent to the previous start and the connection is reset: whether it ran is
+/// The request was sent to the previous incarnation and the connection is reset: whether it ran is
 /// unknown, so it must not be sent again, nor reported as not run.
 #[tokio::test]
-async fn a_request_that_may_run_once_is_not_sent_again_after_a_restart() {
+async fn a_non_idempotent_request_is_not_resent_after_a_restart() {
     let resets = script(|_| vec![Step::Wait(Duration::from_millis(80)), Step::Reset]).await;
     let next = answering(b"next").await;
     let relay = relay_with_service(Kind::NonIdempotent, vec![started_at(1, &resets)]);
@@ -86,9 +86,9 @@
     assert!(next.seen().is_empty());
 }
 
-/// The previous start answers a request it has begun after the next one is known.
+/// The previous incarnation answers a request it has begun after the next one is known.
 #[tokio::test]
-async fn an_answer_of_the_former_start_is_passed_on() {
+async fn a_response_of_the_previous_incarnation_is_forwarded() {
     let slow = |seen: &Seen| {
         [vec![Step::Wait(Duration::from_millis(80))], ok(seen, "sig", b"former")].concat()
     };
@@ -102,9 +102,9 @@
     assert_eq!(body(response.await.expect("request task panicked")), b"former");
 }
 
-/// Another searcher has the address of the previous start, which ends only that start.
+/// Another searcher has the address of the previous incarnation, which ends only that incarnation.
 #[tokio::test]
-async fn the_end_of_one_start_is_not_the_end_of_the_next() {
+async fn the_end_of_one_incarnation_does_not_end_the_next() {
     let moved = |_: &Seen| {
         let text = "HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n";
         vec![Step::Send(text.as_bytes().to_vec())]
@@ -115,7 +115,7 @@
         Reply::Refused(refusal) => assert_eq!(refusal.cause, Cause::NotRun),
         other => panic!("expected a refusal, got {other:?}"),
     }
-    // Reading the previous entry again does not restore it; the next start is used.
+    // Reading the previous entry again does not restore it; the next incarnation is used.
     publish(&relay, started_at(1, &previous));
     let again = relay.handle(request("/a/")).await;
     assert!(matches!(again, Reply::Refused(_)), "{again:?}");
@@ -124,10 +124,10 @@
     assert_eq!(body(relay.handle(request("/a/")).await), b"next");
 }
 
-/// The previous start fails the shard after the next one is known; the next one may be asked as
-/// another searcher of the shard.
+/// The previous incarnation fails the shard after the next one is known; the next one may be asked
+/// as another searcher of the shard.
 #[tokio::test]
-async fn a_shard_may_be_asked_of_the_next_start_after_the_former_failed() {
+async fn a_shard_is_retried_at_the_next_incarnation() {
     let slow = |_: &Seen| vec![Step::Wait(Duration::from_millis(60)), Step::Reset];
     let (previous, next) = (script(slow).await, script(|seen| ok(seen, "s", &record(7))).await);
     let relay = relay(
