--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -454,7 +454,7 @@
         on_store_away: Box::new(move |unavailable, age| {
             for_outages.relay.set_store_unavailable(unavailable, age);
         }),
-        on_restore: Box::new(move |former, at| for_restores.relay.note_restore(former, at)),
+        on_restore: Box::new(move |former, at| for_restores.relay.record_restore(former, at)),
         was_suspended: Box::new(move || for_suspension.relay.is_behind()),
         has_waiting_callers: Box::new(move || for_callers.relay.has_early_request()),
         on_query_end: Box::new(move |report| record_query_report(&for_queries.relay, report)),
@@ -466,7 +466,7 @@
     let origin = if report.origin == Origin::Store { "store" } else { "member" };
     relay.count_store_update(origin, report.error.unwrap_or("answered"), report.bytes);
     if report.error.is_none() && report.kind == QueryKind::News {
-        relay.note_store_update(report.at);
+        relay.record_store_update(report.at);
     }
 }
 
@@ -476,11 +476,11 @@
             relay.apply_declaration(*declaration);
         }
         RecordEvent::Published(upstream) => relay.publish(upstream),
-        RecordEvent::Removed(id) => relay.disappear(&id),
+        RecordEvent::Removed(id) => relay.remove_entry(&id),
         RecordEvent::Unreadable { searcher } => {
             relay.count_unreadable();
             if let Some(id) = searcher {
-                relay.overwrite(&id);
+                relay.overwrite_entry(&id);
             }
         }
     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -226,13 +226,13 @@
     }
 
     /// Records that the entry of a searcher is missing from the store.
-    pub fn disappear(&self, id: &str) {
+    pub fn remove_entry(&self, id: &str) {
         self.change("missing", id, |registry, now| registry.remove_entry(id, now));
     }
 
     /// Records that the entry of a searcher may have been overwritten by a value that names no
     /// searcher.
-    pub fn overwrite(&self, id: &str) {
+    pub fn overwrite_entry(&self, id: &str) {
         self.change("overwritten", id, |registry, now| registry.overwrite_entry(id, now));
     }
 
@@ -299,7 +299,7 @@
     /// Handles the restore of the store from a backup. The earlier state is retained for a while:
     /// searchers rewrite entries that were lost, and the current declaration stays in force if the
     /// backup has an older one.
-    pub fn note_restore(&self, former: Position, at: Position) {
+    pub fn record_restore(&self, former: Position, at: Position) {
         let now = Instant::now();
         let mut state = self.lock();
         state.registry.store_restored(now, self.settings.expiry() + EXPIRY_SLACK);
@@ -362,7 +362,7 @@
     }
 
     /// Records that an update requested at `requested_at` was received.
-    pub fn note_store_update(&self, requested_at: Instant) {
+    pub fn record_store_update(&self, requested_at: Instant) {
         let mut woke_at = self.woke_at.lock().unwrap_or_else(PoisonError::into_inner);
         if woke_at.is_some_and(|woke_at| requested_at >= woke_at) {
             *woke_at = None;
--- a/crates/relay/src/searchers.rs
+++ b/crates/relay/src/searchers.rs
@@ -229,7 +229,7 @@
     /// Credits the retry budget of a service for one request.
     pub(crate) fn credit_retry_budget(&self, service: &Name) {
         let now = Instant::now();
-        let limits = &self.settings.terms;
+        let limits = &self.settings.retry_budget_limits;
         self.lock().retry_budget(service, now).record_request(now, limits);
     }
 
@@ -239,7 +239,7 @@
         let now = Instant::now();
         let mut state = self.lock();
         let members = state.members;
-        let Settings { terms: limits, policy, .. } = &self.settings;
+        let Settings { retry_budget_limits: limits, policy, .. } = &self.settings;
         let granted =
             state.retry_budget(service, now).try_spend(now, limits, policy, members, priority);
         if !granted {
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -22,7 +22,7 @@
     /// The region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
     /// The limits of the retry budget of each service, across all members.
-    pub terms: RetryBudgetLimits,
+    pub retry_budget_limits: RetryBudgetLimits,
     /// The interval at which searchers renew their entries in the store.
     pub heartbeat: Duration,
     /// The timeout for opening a connection: several round trips between regions (16 ms).
@@ -42,7 +42,7 @@
             address: Ipv4Addr::LOCALHOST,
             zone: Name::from("local"),
             regions: BTreeMap::new(),
-            terms: RetryBudgetLimits::default(),
+            retry_budget_limits: RetryBudgetLimits::default(),
             heartbeat: Duration::from_secs(1),
             connect_timeout: Duration::from_millis(300),
             pause_threshold: Duration::from_millis(700),
--- a/crates/relay/tests/awake.rs
+++ b/crates/relay/tests/awake.rs
@@ -30,7 +30,7 @@
     let draining =
         bergamot_registry::Upstream { state: State::Draining, ..upstream("i1", "a", &a) };
     relay.with_registry(|registry| registry.publish(draining, Instant::now()));
-    relay.note_store_update(Instant::now());
+    relay.record_store_update(Instant::now());
     let reply = response.await.expect("request task panicked");
     assert!(matches!(reply, Reply::Refused(refusal) if refusal.cause == Cause::NotRun));
     assert!(a.seen().is_empty());
@@ -45,9 +45,9 @@
     let before = Instant::now();
     std::thread::sleep(PAUSE);
     relay.tick(1, false);
-    relay.note_store_update(before);
+    relay.record_store_update(before);
     assert!(relay.is_behind());
-    relay.note_store_update(Instant::now());
+    relay.record_store_update(Instant::now());
     relay.tick(1, false);
     assert!(!relay.is_behind());
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -136,10 +136,12 @@
     upstreams: Vec<Upstream>,
 ) -> Arc<Relay> {
     // The callers' limit on additional attempts.
-    let terms = RetryBudgetLimits { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
+    let retry_budget_limits =
+        RetryBudgetLimits { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
     let zones = ["here", "west", "east"];
     let regions = zones.iter().map(|zone| (Name::from(*zone), Name::from(*zone))).collect();
-    let settings = Settings { zone: "here".into(), regions, terms, ..settings.clone() };
+    let settings =
+        Settings { zone: "here".into(), regions, retry_budget_limits, ..settings.clone() };
     let relay = Relay::new(settings, DIALECT, helping);
     let services = routes.iter().flat_map(|route| route.target.services());
     let services = services.map(|name| (Name::clone(name), Service { connections: 16 })).collect();
