--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,5 +1,5 @@
-//! A caller as the brief describes it: asks which entry to use, keeps the answer for its
-//! time to live, connects there itself.
+//! A caller: discovers the entries of its zone, caches the answer for its time to live, and
+//! connects to an entry directly.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,59 +13,59 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// How long a caller waits past the deadline before it counts a request as lost.
-pub const GRACE: Duration = Duration::from_secs(1);
+/// The time past its deadline after which a request without an answer counts as lost.
+pub const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
-/// How long asking for addresses may take.
-const ASK: Duration = Duration::from_secs(1);
+/// The timeout of address discovery at one entry.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The idle connections of callers, by entry.
-type Idle = Mutex<HashMap<SocketAddr, Vec<Client>>>;
+/// Idle connections by entry.
+type IdleConnections = Mutex<HashMap<SocketAddr, Vec<Client>>>;
 
 /// A group of callers in one zone.
 #[derive(Debug)]
 pub struct Caller {
     zone: Name,
-    first: Vec<SocketAddr>,
-    held: tokio::sync::Mutex<Option<(Instant, Addresses)>>,
-    idle: Idle,
-    turn: Mutex<usize>,
+    bootstrap: Vec<SocketAddr>,
+    cached: tokio::sync::Mutex<Option<(Instant, Addresses)>>,
+    idle: IdleConnections,
+    next: Mutex<usize>,
 }
 
 impl Caller {
-    /// Makes callers of a zone who know some entries' addresses from before.
-    pub fn new(zone: Name, first: Vec<SocketAddr>) -> Self {
-        let held = tokio::sync::Mutex::default();
-        Self { zone, first, held, idle: Idle::default(), turn: Mutex::new(0) }
+    /// Creates callers in a zone that discover addresses through the given entries.
+    pub fn new(zone: Name, bootstrap: Vec<SocketAddr>) -> Self {
+        let cached = tokio::sync::Mutex::default();
+        Self { zone, bootstrap, cached, idle: IdleConnections::default(), next: Mutex::new(0) }
     }
 
-    /// Returns the entry to use and the prefix for write keys.
+    /// Returns the entry to use and the prefix for idempotency keys.
     ///
-    /// The prefix is that of the entry that gave the addresses, which is not always the
-    /// one that takes the request.
+    /// The prefix comes from the entry that returned the addresses, which may be another one
+    /// than the entry that the request goes to.
     pub async fn address(&self) -> Option<(SocketAddr, String)> {
-        let mut held = self.held.lock().await;
-        if held.as_ref().is_none_or(|(until, _)| Instant::now() >= *until) {
-            *held = self.ask(held.take()).await;
+        let mut cached = self.cached.lock().await;
+        if cached.as_ref().is_none_or(|(until, _)| Instant::now() >= *until) {
+            *cached = self.discover(cached.take()).await;
         }
-        let (_, answer) = held.as_ref()?;
-        let best = answer.addresses.iter().map(|target| target.weight).max()?;
-        let near: Vec<SocketAddr> = answer
+        let (_, answer) = cached.as_ref()?;
+        let highest = answer.addresses.iter().map(|target| target.weight).max()?;
+        let preferred: Vec<SocketAddr> = answer
             .addresses
             .iter()
-            .filter(|target| target.weight == best)
+            .filter(|target| target.weight == highest)
             .filter_map(|target| target.address.parse().ok())
             .collect();
-        let turn = self.next_turn();
-        Some((*near.get(turn % near.len().max(1))?, answer.write_prefix.clone()))
+        let next = self.next_index();
+        Some((*preferred.get(next % preferred.len().max(1))?, answer.write_prefix.clone()))
     }
 
-    /// Forgets the addresses, as after a failed connection.
-    pub async fn forget(&self) {
-        *self.held.lock().await = None;
+    /// Drops the cached addresses, for use after a failed connection.
+    pub async fn invalidate_addresses(&self) {
+        *self.cached.lock().await = None;
     }
 
-    /// Sends a request to an entry, over an idle connection where there is one.
+    /// Sends a request to an entry, over an idle connection if there is one.
     pub async fn send(
         &self,
         entry: SocketAddr,
@@ -73,14 +73,14 @@
         timeout: Duration,
     ) -> Result<Reply, Fault> {
         let exchange = async {
-            let mut client = match self.take(entry) {
+            let mut client = match self.take_idle(entry) {
                 Some(client) => client,
                 None => Client::connect(Ipv4Addr::UNSPECIFIED, entry, timeout).await?,
             };
             let reply = client.send(request).await?;
             let closing = reply.headers().get("connection").is_some_and(|value| value == "close");
             if !closing && client.is_open() {
-                self.put(entry, client);
+                self.put_idle(entry, client);
             }
             Ok(reply)
         };
@@ -89,33 +89,37 @@
             .map_err(|elapsed| Fault::new("send", entry, elapsed))?
     }
 
-    async fn ask(&self, before: Option<(Instant, Addresses)>) -> Option<(Instant, Addresses)> {
-        let known = before.iter().flat_map(|(_, answer)| &answer.addresses);
+    async fn discover(
+        &self,
+        previous: Option<(Instant, Addresses)>,
+    ) -> Option<(Instant, Addresses)> {
+        let known = previous.iter().flat_map(|(_, answer)| &answer.addresses);
         let known = known.filter_map(|target| target.address.parse().ok());
-        let turn = self.next_turn() % self.first.len().max(1);
-        let first = self.first[turn..].iter().chain(&self.first[..turn]).copied();
-        for entry in known.chain(first).collect::<Vec<SocketAddr>>() {
+        let next = self.next_index() % self.bootstrap.len().max(1);
+        let bootstrap = self.bootstrap[next..].iter().chain(&self.bootstrap[..next]).copied();
+        for entry in known.chain(bootstrap).collect::<Vec<SocketAddr>>() {
             let path = format!("/v1/addresses?zone={}", self.zone);
-            let Ok(reply) = fetch(Ipv4Addr::UNSPECIFIED, entry, &path, ASK).await else {
+            let Ok(reply) = fetch(Ipv4Addr::UNSPECIFIED, entry, &path, DISCOVERY_TIMEOUT).await
+            else {
                 continue;
             };
-            let asked = Instant::now();
+            let received = Instant::now();
             if let Ok(answer) = serde_json::from_slice::<Addresses>(reply.body())
                 && !answer.addresses.is_empty()
             {
-                return Some((asked + Duration::from_millis(answer.ttl_ms), answer));
+                return Some((received + Duration::from_millis(answer.ttl_ms), answer));
             }
         }
         None
     }
 
-    fn next_turn(&self) -> usize {
-        let mut turn = self.turn.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        *turn += 1;
-        *turn
+    fn next_index(&self) -> usize {
+        let mut next = self.next.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        *next += 1;
+        *next
     }
 
-    fn take(&self, entry: SocketAddr) -> Option<Client> {
+    fn take_idle(&self, entry: SocketAddr) -> Option<Client> {
         let mut idle = self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let clients = idle.get_mut(&entry)?;
         while let Some(client) = clients.pop() {
@@ -126,7 +130,7 @@
         None
     }
 
-    fn put(&self, entry: SocketAddr, client: Client) {
+    fn put_idle(&self, entry: SocketAddr, client: Client) {
         let mut idle = self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         idle.entry(entry).or_default().push(client);
     }
--- a/crates/bench/src/capacity/control.rs
+++ b/crates/bench/src/capacity/control.rs
@@ -1,4 +1,4 @@
-//! The control plane: real nodes as tasks of one process, at several sizes.
+//! Control plane costs: fleets of real nodes in one process, at several sizes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 use crate::capacity::state::Costs;
 use crate::capacity::table::Table;
 
-/// The sizes of fleets, in instances with two daemons each.
+/// The measured fleet sizes, in instances with two daemons each.
 const FLEETS: [usize; 4] = [4, 16, 32, 64];
 
-/// The sizes for a quick look.
-const QUICK: [usize; 3] = [4, 16, 32];
+/// The fleet sizes with `--quick`.
+const QUICK_FLEETS: [usize; 3] = [4, 16, 32];
 
-/// How long the steady state is watched.
-const STEADY: Duration = Duration::from_secs(10);
+/// The duration of a traffic measurement.
+const MEASUREMENT_PERIOD: Duration = Duration::from_secs(10);
 
-/// How many changes are published for the time to force.
+/// The number of revisions published to measure the time until they are in force.
 const CHANGES: usize = 10;
 
-/// How long a change may take before the run is given up.
-const LONGEST: Duration = Duration::from_secs(30);
+/// The timeout of a wait for a change at a node.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long the news of the start may take to die down.
-const LONGEST_SETTLE: Duration = Duration::from_secs(150);
+/// The timeout for the rumours of the start to be disseminated.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// What was measured at one size.
+/// The measurements at one fleet size.
 struct Row {
     daemons: f64,
     datagrams: f64,
@@ -52,7 +52,7 @@
     join: f64,
 }
 
-/// What was measured of the control plane.
+/// The measured costs of the control plane.
 pub(crate) struct Control {
     rows: Vec<Row>,
 }
@@ -62,12 +62,12 @@
     nodes: Vec<Arc<Node>>,
     platform: Platform,
     members: Runtime,
-    _others: Runtime,
+    _platform_runtime: Runtime,
     instances: usize,
 }
 
 pub(crate) fn measure(quick: bool) -> Control {
-    let fleets: &[usize] = if quick { &QUICK } else { &FLEETS };
+    let fleets: &[usize] = if quick { &QUICK_FLEETS } else { &FLEETS };
     let rows = fleets.iter().enumerate().map(|(i, instances)| measure_one(i as u8, *instances));
     Control { rows: rows.collect() }
 }
@@ -78,18 +78,18 @@
     let fleet = Fleet::start(block, instances);
     let join = start.elapsed().as_secs_f64();
     let daemons = fleet.nodes.len() as f64;
-    // At first everything is news and every datagram is full.
+    // Right after the start there are rumours about all members, so every datagram is full.
     let (at_start, began) = (fleet.sums(), Instant::now());
-    std::thread::sleep(STEADY);
+    std::thread::sleep(MEASUREMENT_PERIOD);
     let busy_bytes = (fleet.sums()[1] - at_start[1]) / began.elapsed().as_secs_f64() / daemons;
     fleet.settle();
     let total_kb = (memory() - before) / 1024.0;
     let (sums, counts, cpu_before) = (fleet.sums(), fleet.platform.counts(), cpu("member"));
-    std::thread::sleep(STEADY);
-    let seconds = STEADY.as_secs_f64();
+    std::thread::sleep(MEASUREMENT_PERIOD);
+    let seconds = MEASUREMENT_PERIOD.as_secs_f64();
     let (after, counts_after) = (fleet.sums(), fleet.platform.counts());
     let core = (cpu("member") - cpu_before) / seconds / daemons;
-    let each = |index: usize| (after[index] - sums[index]) / seconds / daemons;
+    let per_daemon = |index: usize| (after[index] - sums[index]) / seconds / daemons;
     let (mut times, mut reads_after) = (Vec::new(), 0.0_f64);
     for change in 0..CHANGES {
         let reads = fleet.platform.counts().document;
@@ -100,10 +100,10 @@
     times.sort_by(f64::total_cmp);
     let row = Row {
         daemons,
-        datagrams: each(0),
-        bytes: each(1) + each(3),
+        datagrams: per_daemon(0),
+        bytes: per_daemon(1) + per_daemon(3),
         busy_bytes,
-        pulls: each(2),
+        pulls: per_daemon(2),
         core,
         total_kb,
         reads: (counts_after.document - counts.document) as f64 / seconds,
@@ -119,15 +119,15 @@
 
 impl Fleet {
     fn start(block: u8, instances: usize) -> Self {
-        let (members, others) = (runtime("member", 4), runtime("platform", 2));
+        let (members, platform_runtime) = (runtime("member", 4), runtime("platform", 2));
         let ip = |number: usize| Ipv4Addr::new(127, 43, block, 10 + number as u8);
         let size = Size { instances, searchers: 200, shards: 20, ..Size::default() };
         let zone = |number: usize| Name::from(format!("zone-{:02}", number % size.zones));
         let [configuration, list] =
             [7300, 7301].map(|port| SocketAddr::from(([127, 43, block, 1], port)));
-        let platform = others
+        let platform = platform_runtime
             .block_on(Platform::start(configuration, list))
-            .expect("the block is the measurement's own");
+            .expect("the address block is reserved for this measurement");
         platform.publish(&size.document(1));
         let listed = (0..instances).map(|number| Instance {
             address: Name::from(ip(number).to_string()),
@@ -152,15 +152,16 @@
         let nodes = members.block_on(async {
             let mut nodes = Vec::new();
             for start in starts {
-                let node = start.await.expect("starting does not panic");
-                nodes.push(node.expect("the addresses are the measurement's own"));
+                let node = start.await.expect("starting a node does not panic");
+                nodes.push(node.expect("the addresses are reserved for this measurement"));
             }
             nodes
         });
-        Self { nodes, platform, members, _others: others, instances }
+        Self { nodes, platform, members, _platform_runtime: platform_runtime, instances }
     }
 
-    /// Datagrams and bytes sent, pulls begun and bytes pulled, over all nodes.
+    /// Returns datagrams sent, datagram bytes sent, completed pulls and bytes pulled, summed
+    /// over all nodes.
     fn sums(&self) -> [f64; 4] {
         let mut sums = [0.0; 4];
         for meter in self.nodes.iter().map(|node| node.meter()) {
@@ -172,15 +173,15 @@
         sums
     }
 
-    /// Waits until the news of the start has died down.
+    /// Waits until no node has rumours left to send, or until a timeout.
     fn settle(&self) {
-        let end = Instant::now() + LONGEST_SETTLE;
+        let end = Instant::now() + SETTLE_TIMEOUT;
         while Instant::now() < end && self.nodes.iter().any(|node| node.rumours() > 0) {
             std::thread::sleep(Duration::from_millis(500));
         }
     }
 
-    /// Publishes a revision and returns when it was in force at each node, in seconds.
+    /// Publishes a revision and returns the time until it was in force at each node, in seconds.
     fn change(&self, revision: u64) -> Vec<f64> {
         let waits: Vec<_> = self
             .nodes
@@ -192,7 +193,7 @@
                     let has =
                         || node.current().is_some_and(|now| now.document.revision >= revision);
                     while !has() {
-                        let changed = tokio::time::timeout(LONGEST, changes.changed()).await;
+                        let changed = tokio::time::timeout(CHANGE_TIMEOUT, changes.changed()).await;
                         if changed.is_err() {
                             break;
                         }
@@ -216,12 +217,12 @@
             node.close();
         }
         drop(self.platform);
-        // What is left of the tasks ends with the runtime.
+        // Remaining tasks end with the runtime.
         self.members.shutdown_timeout(Duration::from_secs(2));
     }
 }
 
-/// The columns of the table of what was measured.
+/// The columns of the table of measurements.
 const COLUMNS: [&str; 13] = [
     "daemons",
     "datagrams out /s each",
@@ -286,8 +287,8 @@
     fn traffic(&self, size: &Size, state: &Costs, table: &mut Table) {
         let fit = self.fit(|x| x, |row| row.bytes);
         let (steady, documents) = (self.mean(|row| row.bytes), state.document_bytes(size));
-        // Each change is told by each member a number of times that grows with the
-        // logarithm of the fleet.
+        // Each member sends each change a number of times that grows with the logarithm of
+        // the fleet size.
         let changes = size.member_changes();
         let repeats = 3.0 * (size.daemons().log2().floor() + 1.0);
         let news = changes * repeats * RUMOUR_BYTES;
@@ -323,8 +324,8 @@
         ]);
     }
 
-    /// The smallest fleet's whole process bounds what the node of one daemon takes: the
-    /// slope is lost in what the allocator keeps from one fleet to the next.
+    /// Uses the memory of the smallest fleet's process as an upper bound for one daemon. A
+    /// slope can't be measured, because the allocator retains memory between fleets.
     fn memory(&self, structures: f64, table: &mut Table) {
         let whole = self.rows.first().map_or(0.0, |row| row.total_kb) / 1024.0;
         let daemons = self.rows.first().map_or(0.0, |row| row.daemons);
@@ -356,5 +357,5 @@
     }
 }
 
-/// The size of one rumour about a member in a datagram, in bytes, rounded up.
+/// The size of a rumour about a member in a datagram, in bytes, rounded up.
 const RUMOUR_BYTES: f64 = 50.0;
--- a/crates/bench/src/capacity/data.rs
+++ b/crates/bench/src/capacity/data.rs
@@ -1,4 +1,4 @@
-//! The data path: one entry and one gather against searchers that answer at once.
+//! Data path costs: one entry and one gather against searchers without service time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,15 +16,15 @@
 use crate::capacity::process::{cpu, runtime};
 use crate::capacity::size::Size;
 use crate::capacity::table::Table;
-use crate::deployment::{Deployment, ServiceSpec, Use};
+use crate::deployment::{Deployment, RequestKind, ServiceSpec};
 
-/// The shards that a query asks.
-const SHARDS: [usize; 4] = [5, 20, 50, 100];
+/// The measured fan-outs, in shards per query.
+const FAN_OUTS: [usize; 4] = [5, 20, 50, 100];
 
-/// How long queries are sent at each size.
-const TIME: Duration = Duration::from_secs(6);
+/// The duration of load at each fan-out.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
-/// How many callers ask one after the other.
+/// The number of concurrent callers, each with one query at a time.
 const CALLERS: usize = 4;
 
 struct Row {
@@ -37,13 +37,13 @@
     attempts: f64,
 }
 
-/// What was measured of the data path.
+/// The measured costs of the data path.
 pub(crate) struct Data {
     rows: Vec<Row>,
 }
 
 pub(crate) fn measure(quick: bool) -> Data {
-    let shards = if quick { &SHARDS[..2] } else { &SHARDS[..] };
+    let shards = if quick { &FAN_OUTS[..2] } else { &FAN_OUTS[..] };
     Data {
         rows: shards.iter().enumerate().map(|(i, shards)| measure_one(i as u8, *shards)).collect(),
     }
@@ -51,21 +51,21 @@
 
 fn deployment(block: u8, shards: usize) -> Deployment {
     let mut deployment = Deployment::fraser_basin([44, block], Seed(1));
-    let board = deployment.services[0].clone();
+    let template = deployment.services[0].clone();
     let limits = bergamot_standin::Limits {
         slots: 4,
         connections: 25,
-        // What is left is our own time.
+        // Leaves only the time of the entry and the gather.
         service_time: Duration::ZERO,
         connect_cost: Duration::ZERO,
     };
     let service = ServiceSpec {
         shards,
         limits,
-        usage: Use::Top,
+        kind: RequestKind::Top,
         documents: 20 * shards,
         deadline: Duration::from_secs(1),
-        ..board
+        ..template
     };
     deployment.services = vec![service];
     deployment.instances = 1;
@@ -80,26 +80,33 @@
     let settings = Arc::new(deployment.settings(0, &Settings::default()));
     let [configuration, list] = deployment.platform();
     let (platform, searchers) = others.block_on(async {
-        let platform = Platform::start(configuration, list).await.expect("the block is ours");
+        let platform = Platform::start(configuration, list)
+            .await
+            .expect("the address block is reserved for this measurement");
         platform.publish(&deployment.document(1));
         platform.list(deployment.list(0..1));
         let mut searchers = Vec::new();
         for (_, mut settings) in deployment.searchers(&[1]) {
             settings.geography = Arc::default();
-            searchers.push(Searcher::start(settings).await.expect("the block is ours"));
+            searchers.push(
+                Searcher::start(settings)
+                    .await
+                    .expect("the address block is reserved for this measurement"),
+            );
         }
         (platform, searchers)
     });
     let (for_gather, for_entry) = (Arc::clone(&settings), settings);
     let gather = gather_runtime
         .block_on(bergamot_gather::Gather::start(for_gather))
-        .expect("the block is ours");
-    let entry =
-        entry_runtime.block_on(bergamot_entry::Entry::start(for_entry)).expect("the block is ours");
+        .expect("the address block is reserved for this measurement");
+    let entry = entry_runtime
+        .block_on(bergamot_entry::Entry::start(for_entry))
+        .expect("the address block is reserved for this measurement");
     std::thread::sleep(Duration::from_secs(2));
-    others.block_on(ask(&deployment, Duration::from_millis(500)));
+    others.block_on(send_queries(&deployment, Duration::from_millis(500)));
     let before = (cpu("entry"), cpu("gather"), attempts(&searchers));
-    let (times, queries) = others.block_on(ask(&deployment, TIME));
+    let (times, queries) = others.block_on(send_queries(&deployment, LOAD_DURATION));
     let queries = queries as f64;
     let row = Row {
         shards: shards as f64,
@@ -121,11 +128,12 @@
     searchers.iter().map(Searcher::searches).sum()
 }
 
-/// Sends queries one after the other from several callers; returns their times in µs.
-async fn ask(deployment: &Deployment, time: Duration) -> (Histogram<u64>, u64) {
+/// Sends queries from several callers in a closed loop; returns the latencies in µs and the
+/// number of successful queries.
+async fn send_queries(deployment: &Deployment, time: Duration) -> (Histogram<u64>, u64) {
     let entry = (deployment.instance(0), 7400).into();
     let path = format!("/v1/{}/{}/query", deployment.workspace, deployment.services[0].name);
-    let asks = (0..CALLERS).map(|_| {
+    let callers = (0..CALLERS).map(|_| {
         let path = path.clone();
         tokio::spawn(async move {
             let mut times = Histogram::<u64>::new(3).expect("the precision is valid");
@@ -145,8 +153,8 @@
         })
     });
     let mut all = Histogram::<u64>::new(3).expect("the precision is valid");
-    for times in futures::future::join_all(asks).await.into_iter().flatten() {
-        all.add(times).expect("both have one precision");
+    for times in futures::future::join_all(callers).await.into_iter().flatten() {
+        all.add(times).expect("both histograms have the same precision");
     }
     let count = all.len();
     (all, count)
@@ -154,11 +162,11 @@
 
 impl Data {
     pub(crate) fn tables(&self, size: &Size) -> Vec<(&'static str, String)> {
-        let points = |y: fn(&Row) -> f64| {
+        let fit = |y: fn(&Row) -> f64| {
             let points: Vec<_> = self.rows.iter().map(|row| (row.shards, y(row))).collect();
             Fit::of(&points)
         };
-        let (entry, gather) = (points(|row| row.entry_us), points(|row| row.gather_us));
+        let (entry, gather) = (fit(|row| row.entry_us), fit(|row| row.gather_us));
         let mut measured = Table::new(&COLUMNS);
         for row in &self.rows {
             measured.row(&row.cells());
@@ -168,7 +176,7 @@
     }
 }
 
-/// The columns of the table of what was measured.
+/// The columns of the table of measurements.
 const COLUMNS: [&str; 7] = [
     "shards",
     "queries answered",
@@ -193,7 +201,7 @@
     }
 }
 
-/// What the fits give at the letter's size.
+/// Extrapolates the fits to the design size.
 fn at_size(size: &Size, entry: Fit, gather: Fit) -> String {
     let fan_out = size.fan_out as f64;
     let per_entry = size.queries / size.instances as f64;
@@ -209,11 +217,11 @@
     let sum = format!("{per_gather:.0} sub-queries/s x {:.1} µs", gather.slope);
     row("gather, cores, one HTTP exchange a sub-query", sum, cores);
     row("what batching has to save for 4 cores a gather, times", "cores / 4".into(), cores / 4.0);
-    let sum = format!("{per_gather:.0} x {GUESSED_BYTES} B");
+    let sum = format!("{per_gather:.0} x {SUB_QUERY_BYTES} B");
     let what = "traffic of a gather at 500 B a sub-query (a guess), MB/s";
-    row(what, sum, per_gather * GUESSED_BYTES / 1e6);
+    row(what, sum, per_gather * SUB_QUERY_BYTES / 1e6);
     table.text()
 }
 
-/// A guess of what a sub-query takes on the wire, both ways.
-const GUESSED_BYTES: f64 = 500.0;
+/// The assumed size of a sub-query and its reply on the wire, in bytes; not measured.
+const SUB_QUERY_BYTES: f64 = 500.0;
--- a/crates/bench/src/capacity/fit.rs
+++ b/crates/bench/src/capacity/fit.rs
@@ -1,4 +1,4 @@
-//! Straight lines through measured points.
+//! Least-squares fits of measured points.
 
 use std::fmt;
 
@@ -7,29 +7,29 @@
 pub struct Fit {
     /// The value at zero.
     pub base: f64,
-    /// What each unit adds.
+    /// The increase per unit of `x`.
     pub slope: f64,
     /// The largest distance of a measured point from the line.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Fits a line through points.
+    /// Fits a line to points.
     pub fn of(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean =
             |value: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(value).sum::<f64>() / count;
         let (x, y) = (mean(&|point| point.0), mean(&|point| point.1));
-        let spread: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
-        let together: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
-        let slope = if spread > 0.0 { together / spread } else { 0.0 };
+        let sum_xx: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
+        let sum_xy: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
+        let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         let base = y - slope * x;
-        let off = |point: &(f64, f64)| (point.1 - base - slope * point.0).abs();
-        let residual = points.iter().map(off).fold(0.0, f64::max);
+        let distance = |point: &(f64, f64)| (point.1 - base - slope * point.0).abs();
+        let residual = points.iter().map(distance).fold(0.0, f64::max);
         Self { base, slope, residual }
     }
 
-    /// Returns the line's value.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
--- a/crates/bench/src/capacity/mod.rs
+++ b/crates/bench/src/capacity/mod.rs
@@ -1,9 +1,9 @@
 //! The measurements behind `docs/CAPACITY.md`.
 //!
-//! Slopes are measured on this machine at several sizes, fitted by least squares, and
-//! taken to the size that the users design for. The tables of the page are rewritten
-//! from one run, so that the page can't go stale unseen: text outside of the marked
-//! blocks holds no measured number.
+//! Costs are measured on this machine at several sizes, fitted by least squares, and
+//! extrapolated to the design size. All tables of the page are rewritten from one run, and
+//! the text outside of the marked blocks has no measured numbers, so that no figure on the
+//! page can be out of date unnoticed.
 
 mod control;
 mod data;
--- a/crates/bench/src/capacity/size.rs
+++ b/crates/bench/src/capacity/size.rs
@@ -1,36 +1,36 @@
-//! The size that the users design for, and what follows from it by arithmetic.
+//! The design size, and the quantities computed from it.
 
 use bergamot_config::Document;
 use serde_json::json;
 
 use crate::capacity::table::Table;
 
-/// The size of the letter.
+/// The size of a deployment; the default is the design size from the requirements.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Instances, each with an entry and a gather.
     pub instances: usize,
     /// Searchers.
     pub searchers: usize,
-    /// Queries a second.
+    /// Queries per second.
     pub queries: f64,
-    /// Searchers, and so shards, that a query goes to.
+    /// The searchers, and therefore shards, that a query is sent to.
     pub fan_out: usize,
     /// Regions.
     pub regions: usize,
     /// Availability zones.
     pub zones: usize,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes: f64,
-    /// Restarts and replacements a day.
+    /// Restarts and replacements of instances per day.
     pub restarts: f64,
     /// Instances that fail on an ordinary day.
     pub failures: f64,
-    /// The connections that a searcher accepts.
+    /// The maximum number of connections of a searcher.
     pub limit: usize,
-    /// What a new connection costs, in seconds.
+    /// The time that a new connection costs a searcher, in seconds.
     pub connect_cost: f64,
-    /// The shards of a service at that size.
+    /// The number of shards of a service.
     pub shards: usize,
 }
 
@@ -59,16 +59,16 @@
         2.0 * self.instances as f64
     }
 
-    /// Returns how many changes of members there are a second.
+    /// Returns the number of membership changes per second.
     ///
-    /// A restart is a member that leaves and one that comes, and either may be doubted in
-    /// between; a failure is doubted and then gone.
+    /// A restart counts as three: a leave, a join, and a possible suspicion in between. A
+    /// failure counts as two: a suspicion and a removal.
     pub fn member_changes(&self) -> f64 {
         (3.0 * self.restarts + 2.0 * self.failures) / 86_400.0
     }
 
-    /// Returns a document of this size: services of 980 shards, as far as the searchers
-    /// go, with one replica each but for what is left over.
+    /// Returns a document of this size: two replicas per shard, and at most `shards` shards per
+    /// service (the last one has the remainder).
     pub fn document(&self, revision: u64) -> String {
         let places: Vec<_> = (0..self.zones)
             .map(|z| json!({"zone": format!("zone-{z:02}"), "region": format!("region-{}", z % self.regions)}))
@@ -101,7 +101,7 @@
         Document::parse(self.document(revision).as_bytes()).expect("the large document is valid")
     }
 
-    /// Returns the table of connections, by arithmetic from the layout in the code.
+    /// Returns the table of connections, computed from the layout.
     pub(crate) fn connections(&self) -> String {
         let document = self.parsed(1);
         let layout = &document.layout;
@@ -111,7 +111,8 @@
         let (instances, limit) = (self.instances as f64, self.limit as f64);
         let cell = searchers / cells;
         let held = cells * homes / instances;
-        let moved = MOVED * self.restarts / 2.0 * cell * share / 86_400.0;
+        let new_connections =
+            NEW_HOMES_PER_REPLACEMENT * self.restarts / 2.0 * cell * share / 86_400.0;
         let sub_queries = self.queries * self.fan_out as f64;
         let mut table = Table::new(&["quantity", "sum", "value"]);
         let mut row = |what: &str, sum: String, value: f64| {
@@ -134,11 +135,17 @@
         row("connections of a searcher, all homes replaced at once", sum, 2.0 * homes * share);
         let asked = (self.fan_out as f64 / (cell / 2.0)).ceil();
         row("cells that a query asks", format!("{} / ({cell:.1} / 2)", self.fan_out), asked);
-        let sum =
-            format!("{MOVED} homes x {} / 2 gathers a day x {cell:.1} / 86400", self.restarts);
-        row("new connections a second for restarts", sum, moved);
-        let sum = format!("{moved:.1} x {} ms", self.connect_cost * 1e3);
-        row("searchers' time for them, ms a second", sum, moved * self.connect_cost * 1e3);
+        let sum = format!(
+            "{NEW_HOMES_PER_REPLACEMENT} homes x {} / 2 gathers a day x {cell:.1} / 86400",
+            self.restarts
+        );
+        row("new connections a second for restarts", sum, new_connections);
+        let sum = format!("{new_connections:.1} x {} ms", self.connect_cost * 1e3);
+        row(
+            "searchers' time for them, ms a second",
+            sum,
+            new_connections * self.connect_cost * 1e3,
+        );
         let sum = format!("{} x {}", self.queries, self.fan_out);
         row("sub-queries a second", sum, sub_queries);
         row(
@@ -159,6 +166,6 @@
     }
 }
 
-/// Homes that are new when one gather is replaced, rounded up from the measured mean in
-/// the table of the document.
-const MOVED: f64 = 7.0;
+/// The number of new homes when one gather is replaced, rounded up from the measured mean in
+/// the `document` table.
+const NEW_HOMES_PER_REPLACEMENT: f64 = 7.0;
--- a/crates/bench/src/capacity/state.rs
+++ b/crates/bench/src/capacity/state.rs
@@ -1,4 +1,4 @@
-//! What the pure structures cost at sizes up to the letter's.
+//! Processor time and memory of the data structures at sizes up to the design size.
 
 use std::net::Ipv4Addr;
 use std::time::Instant;
@@ -14,19 +14,19 @@
 use crate::capacity::size::Size;
 use crate::capacity::table::Table;
 
-/// How often a cost is measured for its mean.
+/// The number of repetitions that a mean cost is measured over.
 const ROUNDS: usize = 20;
 
-/// How many copies of a view make memory large enough to be measured.
-const COPIES: usize = 200;
+/// The number of copies of a view whose memory is large enough to measure.
+const VIEW_COPIES: usize = 200;
 
-/// How many copies of a document do.
-const DOCUMENTS: usize = 10;
+/// The number of copies of a document whose memory is large enough to measure.
+const DOCUMENT_COPIES: usize = 10;
 
-/// The sizes of fleets, in instances.
+/// The measured fleet sizes, in instances.
 const FLEETS: [usize; 5] = [50, 100, 200, 450, 900];
 
-/// What was measured of the pure structures.
+/// The measured costs of the data structures.
 pub(crate) struct Costs {
     rows: Vec<Row>,
     homes: Fit,
@@ -40,15 +40,15 @@
     view_kb: f64,
 }
 
-/// The costs of one document of the letter's size.
+/// The costs of one document of the design size.
 struct DocumentCosts {
     bytes: usize,
     parse_ms: f64,
     assemble_ms: f64,
     memory_kb: f64,
     changed_bytes: usize,
-    moved: f64,
-    idle: f64,
+    new_homes: f64,
+    idle_share: f64,
 }
 
 fn view(instances: usize, zones: usize) -> View {
@@ -69,7 +69,8 @@
     view
 }
 
-pub(crate) fn milliseconds(rounds: usize, mut work: impl FnMut()) -> f64 {
+/// Returns the mean time of a call, in milliseconds.
+pub(crate) fn mean_millis(rounds: usize, mut work: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..rounds {
         work();
@@ -77,17 +78,18 @@
     start.elapsed().as_secs_f64() * 1e3 / rounds as f64
 }
 
-/// Measures what one copy of a value takes, by keeping many.
+/// Measures the mean memory of a value, in kilobytes, over several copies.
 ///
-/// The copies are kept by the caller: freed memory would hide what the next ones take.
-fn kilobytes<T>(copies: usize, make: impl Fn() -> T) -> (f64, Vec<T>) {
+/// The caller must keep the returned copies until its last measurement: the allocator would
+/// reuse freed memory, which would hide the memory of later copies.
+fn mean_kilobytes<T>(copies: usize, make: impl Fn() -> T) -> (f64, Vec<T>) {
     let before = memory();
-    let kept: Vec<T> = (0..copies).map(|_| make()).collect();
-    ((memory() - before) / copies as f64 / 1024.0, kept)
+    let values: Vec<T> = (0..copies).map(|_| make()).collect();
+    ((memory() - before) / copies as f64 / 1024.0, values)
 }
 
 pub(crate) fn measure(size: &Size) -> Costs {
-    let (memory_kb, documents) = kilobytes(DOCUMENTS, || size.parsed(1));
+    let (memory_kb, documents) = mean_kilobytes(DOCUMENT_COPIES, || size.parsed(1));
     let mut views = Vec::new();
     let mut rows = Vec::new();
     for instances in FLEETS {
@@ -99,9 +101,9 @@
         let homes = || {
             Homes::compute(&document.layout, size.regions, view.placement_candidates(Role::Gather))
         };
-        let (view_kb, kept) = kilobytes(COPIES, || view.clone());
-        views.push(kept);
-        let homes_ms = milliseconds(ROUNDS, || drop(homes()));
+        let (view_kb, copies) = mean_kilobytes(VIEW_COPIES, || view.clone());
+        views.push(copies);
+        let homes_ms = mean_millis(ROUNDS, || drop(homes()));
         rows.push(Row { daemons: small.daemons(), homes_ms, view_kb });
     }
     let points =
@@ -118,47 +120,48 @@
 fn measure_document(size: &Size, memory_kb: f64) -> DocumentCosts {
     let text = size.document(1);
     let document = size.parsed(1);
-    // One replica of one shard moves, under a new revision.
+    // The next revision changes the address of one replica.
     let next = text.replacen("10.0.0.1:9000", "10.9.9.9:9000", 1);
     let next = next.replacen("\"revision\":1", "\"revision\":2", 1);
     let next = Document::parse(next.as_bytes()).expect("the changed document is valid");
     let sent = Parcel::of(&next).without(&Parcel::of(&document).hashes());
     let mut wire = Vec::new();
     ciborium::into_writer(&sent, &mut wire).expect("parcels always serialize");
-    let (moved, idle) = replaced(size, &document);
+    let (new_homes, idle_share) = measure_replacements(size, &document);
     DocumentCosts {
         bytes: text.len(),
-        parse_ms: milliseconds(ROUNDS, || drop(Document::parse(text.as_bytes()))),
-        assemble_ms: milliseconds(ROUNDS, || drop(sent.assemble(Some(&document)))),
+        parse_ms: mean_millis(ROUNDS, || drop(Document::parse(text.as_bytes()))),
+        assemble_ms: mean_millis(ROUNDS, || drop(sent.assemble(Some(&document)))),
         memory_kb,
         changed_bytes: wire.len(),
-        moved,
-        idle,
+        new_homes,
+        idle_share,
     }
 }
 
-/// Replaces one gather after the other, and returns the mean number of homes that are
-/// new for each and the part of gathers that home no cell.
-fn replaced(size: &Size, document: &Document) -> (f64, f64) {
+/// Replaces single gathers, and returns the mean number of new homes per replacement and
+/// the share of gathers that are home to no cell.
+fn measure_replacements(size: &Size, document: &Document) -> (f64, f64) {
     let members: Vec<Record> =
         view(size.instances, size.zones).placement_candidates(Role::Gather).cloned().collect();
     let homes = |members: &[Record]| Homes::compute(&document.layout, size.regions, members.iter());
     let before = homes(&members);
-    let idle = members.iter().filter(|member| before.cells_of(member.endpoint).is_empty()).count();
-    let mut moved = 0;
+    let idle_share =
+        members.iter().filter(|member| before.cells_of(member.endpoint).is_empty()).count();
+    let mut new_homes = 0;
     for number in 0..ROUNDS {
         let mut after = members.clone();
-        let victim = number * size.instances / ROUNDS;
-        after[victim].endpoint.ip = Ipv4Addr::from(0x0a01_0000 + number as u32);
+        let replaced = number * size.instances / ROUNDS;
+        after[replaced].endpoint.ip = Ipv4Addr::from(0x0a01_0000 + number as u32);
         let after = homes(&after);
         for (cell, of) in after.iter() {
-            moved += of.iter().filter(|home| !before.of(cell).contains(home)).count();
+            new_homes += of.iter().filter(|home| !before.of(cell).contains(home)).count();
         }
     }
-    (moved as f64 / ROUNDS as f64, idle as f64 / members.len() as f64)
+    (new_homes as f64 / ROUNDS as f64, idle_share as f64 / members.len() as f64)
 }
 
-/// Returns the size of a full datagram and of one without news, in bytes.
+/// Returns the size of a full datagram and of one without rumours, in bytes.
 fn datagram_bytes() -> (usize, usize) {
     let full = view(900, 11);
     let records: Vec<Record> = full.iter().take(11).cloned().collect();
@@ -180,22 +183,22 @@
 }
 
 impl Costs {
-    /// The processor time for computing the homes, in parts of a core, at the letter's size.
+    /// Returns the processor time for computing homes, as a share of a core.
     pub(crate) fn homes_core(&self, size: &Size) -> f64 {
         size.member_changes() * self.homes.at(size.daemons().powi(2) / 1e6) / 1e3
     }
 
-    /// The processor time for taking in changes of the document, in parts of a core.
+    /// Returns the processor time for applying document changes, as a share of a core.
     pub(crate) fn document_core(&self, size: &Size) -> f64 {
         size.changes / 86_400.0 * self.document.assemble_ms / 1e3
     }
 
-    /// The memory of the view and of the document in force, old and new at once, in MB.
+    /// Returns the memory of the view and of two documents, the old and the new one, in MB.
     pub(crate) fn megabytes(&self, size: &Size) -> f64 {
         (self.view.at(size.daemons()) + 2.0 * self.document.memory_kb) / 1024.0
     }
 
-    /// The bytes a second of documents at one daemon.
+    /// Returns the traffic of document changes at one daemon, in bytes per second.
     pub(crate) fn document_bytes(&self, size: &Size) -> f64 {
         size.changes / 86_400.0 * self.document.changed_bytes as f64
     }
@@ -222,8 +225,8 @@
         row("assembling it from the changed sections and the held ones, ms", self.assemble_ms);
         row("the document in memory, KB", self.memory_kb);
         row("a change of one replica on the wire, KB", self.changed_bytes as f64 / 1024.0);
-        row("homes that are new when one gather is replaced, mean of 20", self.moved);
-        row("gathers that home no cell, %", self.idle * 100.0);
+        row("homes that are new when one gather is replaced, mean of 20", self.new_homes);
+        row("gathers that home no cell, %", self.idle_share * 100.0);
         row("a control datagram with ten rumours, bytes", full as f64);
         row("a control datagram without rumours, bytes", bare as f64);
         table.text()
--- a/crates/bench/src/capacity/table.rs
+++ b/crates/bench/src/capacity/table.rs
@@ -1,13 +1,13 @@
-//! Tables in the form of the pages.
+//! Markdown tables.
 
 use std::fmt::Write as _;
 
-/// A table with a head.
+/// A table with a header.
 #[derive(Debug)]
 pub(crate) struct Table(String);
 
 impl Table {
-    /// Makes an empty table.
+    /// Creates a table without rows.
     pub(crate) fn new(columns: &[&str]) -> Self {
         let head = format!("| {} |\n|{}\n", columns.join(" | "), "---|".repeat(columns.len()));
         Self(head)
@@ -23,7 +23,7 @@
         let _ = writeln!(self.0, "\n{text}");
     }
 
-    /// Returns the table.
+    /// Returns the table as Markdown.
     pub(crate) fn text(self) -> String {
         self.0
     }
--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -1,8 +1,8 @@
-//! The checker: decides from a history whether the promises held.
+//! Checks the invariants of the system against a history.
 //!
-//! It trusts no daemon. Snapshots are read off the stamps in the documents, coverage
-//! off the number of documents, effects off the searchers' own ledgers. Each rule can
-//! fail: `tests/histories/` holds a small history by hand that breaks it.
+//! The checker does not rely on what daemons report: it determines snapshots from the stamps in
+//! the documents, coverage from the number of documents, and effects from the records of
+//! the searchers. `tests/filetests/` has a handwritten history that violates each rule.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,20 +12,20 @@
 
 use crate::history::{Ending, History, Request};
 
-/// The promises that a history can break, in the order of the brief.
+/// The invariants that a history can violate, in the order of the requirements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     /// Every answer reflects one snapshot.
     Snapshot,
-    /// Every answer states truly what it covers.
+    /// Every answer states its coverage correctly.
     Coverage,
-    /// Each caller receives the whole answer to their own request.
+    /// Each caller receives the complete answer to its own request, and nothing else.
     OwnAnswer,
-    /// What is said not to have run did not run.
+    /// A write reported as not executed had no effect.
     NotRun,
-    /// A write takes effect at most once, and what is done has an effect.
+    /// A write takes effect at most once, and a write reported as done took effect.
     AtMostOnce,
-    /// No request is lost.
+    /// Every request gets a final answer.
     NoLoss,
 }
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// A promise that was broken, and where.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// The invariant.
     pub promise: Promise,
-    /// The request or key, and what is wrong with it.
+    /// The request or idempotency key, and how it violates the invariant.
     pub detail: String,
 }
 
@@ -80,27 +80,37 @@
     };
     let stamp = format!("v{}e{}", answer.version, answer.epoch);
     for found in answer.stamps.iter().filter(|found| ***found != *stamp) {
-        report(Promise::Snapshot, format!("names {stamp} and holds {found}"));
+        report(Promise::Snapshot, format!("states {stamp} but contains hits of {found}"));
     }
     if answer.complete != (answer.missing.is_empty() && answer.answered == answer.asked) {
-        report(Promise::Coverage, "says complete against its own counts".to_owned());
+        let marked = if answer.complete { "complete" } else { "partial" };
+        let (answered, asked, missing) = (answer.answered, answer.asked, answer.missing.len());
+        let detail = format!(
+            "is marked {marked} with {answered} of {asked} shards answered and {missing} listed as missing"
+        );
+        report(Promise::Coverage, detail);
     }
     if answer.answered + answer.missing.len() != answer.asked {
-        report(Promise::Coverage, "does not name every shard that is missing".to_owned());
+        report(Promise::Coverage, "does not list every missing shard".to_owned());
     }
     if answer.complete && answer.hits < answer.expected {
         let (hits, expected) = (answer.hits, answer.expected);
-        report(Promise::Coverage, format!("says complete with {hits} of {expected} hits"));
+        report(Promise::Coverage, format!("is marked complete with {hits} of {expected} hits"));
     }
     if (request.ending == Ending::Complete) != answer.complete {
-        report(Promise::Coverage, "was taken for what it does not say".to_owned());
+        let marked = if answer.complete { "complete" } else { "partial" };
+        let detail = format!("is marked {marked} but was recorded as {:?}", request.ending);
+        report(Promise::Coverage, detail);
     }
     if answer.foreign || answer.hits > answer.expected {
-        report(Promise::OwnAnswer, "holds documents that were not asked for".to_owned());
+        report(
+            Promise::OwnAnswer,
+            "contains documents that were not requested, or duplicates".to_owned(),
+        );
     }
 }
 
-/// Counts the effects of each write key and compares them with what callers were told.
+/// Compares the number of effects of each idempotency key with the reported outcomes.
 fn check_writes(history: &History) -> Vec<Violation> {
     let mut effects = HashMap::<&Name, usize>::new();
     let writes = history.effects.values().flatten().filter_map(|effect| match effect {
@@ -110,10 +120,10 @@
     for key in writes {
         *effects.entry(key).or_default() += 1;
     }
-    let mut told = HashMap::<&Name, Vec<Ending>>::new();
+    let mut reported = HashMap::<&Name, Vec<Ending>>::new();
     for request in &history.requests {
         if let Some(key) = &request.key {
-            told.entry(key).or_default().push(request.ending);
+            reported.entry(key).or_default().push(request.ending);
         }
     }
     let mut violations = Vec::new();
@@ -123,15 +133,15 @@
             violations.push(Violation { promise: Promise::AtMostOnce, detail });
         }
     }
-    for (key, endings) in told {
+    for (key, endings) in reported {
         let count = effects.get(key).copied().unwrap_or(0);
         if endings.contains(&Ending::Complete) && count == 0 {
-            let detail = format!("key {key} is said to be done and had no effect");
+            let detail = format!("key {key} was reported as done but had no effect");
             violations.push(Violation { promise: Promise::AtMostOnce, detail });
         }
-        // A key may be tried again after "not run": then the last answer counts.
+        // A key may be retried after "not run", so only the last outcome counts.
         if endings.last() == Some(&Ending::NotRun) && count > 0 {
-            let detail = format!("key {key} is said not to have run and took effect");
+            let detail = format!("key {key} was reported as not executed but took effect");
             violations.push(Violation { promise: Promise::NotRun, detail });
         }
     }
@@ -139,7 +149,7 @@
     violations
 }
 
-/// Counts the violations of a promise.
+/// Counts the violations of an invariant.
 pub fn count(violations: &[Violation], promise: Promise) -> usize {
     violations.iter().filter(|violation| violation.promise == promise).count()
 }
--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A deployment that runs in this process, over loopback.
+//! A deployment running in this process, over loopback.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,31 +14,31 @@
 use crate::descriptors::DESCRIPTORS;
 use crate::history::History;
 
-/// How long sockets may take to close.
-const CLOSING: Duration = Duration::from_millis(500);
+/// The time that [`Cluster::close`] allows for sockets to close.
+const CLOSE_DELAY: Duration = Duration::from_millis(500);
 
 /// The daemons of one instance.
 #[derive(Debug)]
 pub struct Instance {
-    /// The entry.
+    /// The entry daemon.
     pub entry: bergamot_entry::EntryHandle,
-    /// The gather.
+    /// The gather daemon.
     pub gather: bergamot_gather::GatherHandle,
 }
 
-/// A deployment that runs.
+/// A running deployment.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What runs.
+    /// The description that the cluster was started from.
     pub deployment: Deployment,
-    /// The platform.
+    /// The stand-in platform.
     pub platform: Platform,
-    /// The searchers, in the order of the document, with the service of each.
+    /// The searchers in document order, each with the index of its service.
     pub searchers: Vec<(usize, Searcher)>,
     /// The instances by number.
     pub instances: BTreeMap<usize, Instance>,
     base: Settings,
-    /// Held for as long as the connections may be open; dropped last.
+    /// Reserves descriptors while connections may be open. Declared last, so it is dropped last.
     _descriptors: OwnedSemaphorePermit,
 }
 
@@ -58,13 +58,13 @@
         Ok(cluster)
     }
 
-    /// Starts the platform and the searchers only, once the process has descriptors for them.
+    /// Starts only the platform and the searchers, after reserving descriptors for them.
     pub async fn start_stand_ins(
         deployment: Deployment,
         base: Settings,
         versions: &[Version],
     ) -> Result<Self, Fault> {
-        let descriptors = DESCRIPTORS.take(deployment.descriptors()).await;
+        let descriptors = DESCRIPTORS.acquire(deployment.descriptors()).await;
         let [configuration, instances] = deployment.platform();
         let platform = Platform::start(configuration, instances).await?;
         platform.publish(&deployment.document(1));
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Starts the daemons of one more instance.
+    /// Starts the daemons of an additional instance.
     pub async fn add(&mut self, number: usize) -> Result<(), Fault> {
         let instance = start_instance(self.settings(number)).await?;
         self.instances.insert(number, instance);
@@ -92,11 +92,11 @@
 
     /// Stops the daemons of an instance gracefully.
     pub async fn remove(&mut self, number: usize) {
-        self.remove_together(&[number]).await;
+        self.remove_all(&[number]).await;
     }
 
-    /// Stops the daemons of several instances gracefully at the same time.
-    pub async fn remove_together(&mut self, numbers: &[usize]) {
+    /// Stops the daemons of several instances gracefully and concurrently.
+    pub async fn remove_all(&mut self, numbers: &[usize]) {
         let leaving: Vec<_> =
             numbers.iter().filter_map(|number| self.instances.remove(number)).collect();
         let stops = leaving.into_iter().map(|instance| async move {
@@ -105,7 +105,7 @@
         futures::future::join_all(stops).await;
     }
 
-    /// Kills a searcher and starts another run at its address, cold.
+    /// Kills a searcher and starts a new, cold process at its address that keeps its effects.
     pub async fn restart_searcher(
         &mut self,
         number: usize,
@@ -116,7 +116,7 @@
         let service = *service;
         old.kill();
         let before = old.effects();
-        // The old run's listener closes a moment after the kill.
+        // The old listener closes asynchronously after the kill.
         tokio::time::sleep(Duration::from_millis(100)).await;
         let fresh = Searcher::start(settings).await?;
         fresh.chill(Duration::from_secs(1));
@@ -125,37 +125,37 @@
         Ok(())
     }
 
-    /// Ends everything at once and returns when its addresses are free again.
+    /// Aborts all daemons and stand-ins and waits for their addresses to become free.
     pub async fn close(self) {
         for instance in self.instances.into_values() {
             instance.entry.abort();
             instance.gather.abort();
         }
         drop((self.platform, self.searchers));
-        tokio::time::sleep(CLOSING).await;
+        tokio::time::sleep(CLOSE_DELAY).await;
     }
 
     /// Returns the searchers of a service.
     pub fn searchers_of(&self, name: &str) -> Vec<&Searcher> {
-        let named = |service: usize| self.deployment.services[service].name == name;
-        let own = self.searchers.iter().filter(|(service, _)| named(*service));
-        own.map(|(_, searcher)| searcher).collect()
+        let has_name = |service: usize| self.deployment.services[service].name == name;
+        let matching = self.searchers.iter().filter(|(service, _)| has_name(*service));
+        matching.map(|(_, searcher)| searcher).collect()
     }
 
-    /// Adds what the searchers did to a history.
+    /// Copies the effects recorded by the searchers into a history.
     pub fn collect(&self, history: &mut History) {
         for (_, searcher) in &self.searchers {
             history.effects.insert(searcher.address(), searcher.effects());
         }
     }
 
-    /// Returns the most connections a searcher had against its limit, over all
-    /// searchers, and how many connections came above a limit.
+    /// Returns the highest ratio of peak connections to the limit over all searchers, and
+    /// the number of connections above a limit.
     pub fn connections(&self) -> (f64, usize) {
-        self.searchers.iter().fold((0.0, 0), |(worst, over), (service, searcher)| {
+        self.searchers.iter().fold((0.0, 0), |(highest, over_limit), (service, searcher)| {
             let (peak, above) = searcher.connections();
             let limit = self.deployment.services[*service].limits.connections;
-            (f64::max(worst, peak as f64 / limit as f64), over + above)
+            (f64::max(highest, peak as f64 / limit as f64), over_limit + above)
         })
     }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// Starts both daemons of an instance at once, as after a boot.
+/// Starts both daemons of an instance concurrently, as after a boot.
 async fn start_instance(settings: Arc<Settings>) -> Result<Instance, Fault> {
     let entry = bergamot_entry::Entry::start(Arc::clone(&settings));
     let gather = bergamot_gather::Gather::start(settings);
--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -1,56 +1,57 @@
-//! How long the members of a fleet take to know each other, by the model.
+//! Simulated convergence time of fleet membership.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use bergamot_model::fleet::{Fleet, LATER, Report, WITHIN, run};
 
-/// The share of the living members that everybody must know.
-const KNOWN: f64 = 0.99;
+/// The share of the live members that every member must know.
+const KNOWN_SHARE: f64 = 0.99;
 
-/// How long after the last event control is steady, and is measured until the end.
-const STEADY: Duration = Duration::from_secs(10);
+/// The period at the end of a run, after the last event, in which steady-state traffic is
+/// measured.
+const STEADY_PERIOD: Duration = Duration::from_secs(10);
 
-/// One load at one size.
+/// The result of one event at one fleet size.
 #[derive(Debug)]
 pub struct Row {
     load: &'static str,
     members: usize,
     known: Option<Duration>,
     agreed: Option<Duration>,
-    /// What the mean and the busiest member sent because of it, in bytes.
+    /// The bytes that the mean and the busiest member sent after the event.
     sent: (f64, u64),
-    /// What all sent between zones because of it, in bytes.
+    /// The bytes that all members sent between zones after the event.
     between_zones: u64,
-    /// The time of this machine's processor that a member's core took over the whole run.
-    work: Duration,
+    /// The processor time per member over the whole run, on this machine.
+    cpu_time: Duration,
 }
 
-/// Plays every load at each size.
+/// Simulates every event at each size.
 pub fn measure(sizes: &[usize], seed: u64) -> Vec<Row> {
     sizes.iter().flat_map(|members| rows(*members, seed)).collect()
 }
 
 fn rows(members: usize, seed: u64) -> Vec<Row> {
-    let back = LATER + Duration::from_millis(1400) + WITHIN;
+    let restored = LATER + Duration::from_millis(1400) + WITHIN;
     let healed = LATER + Duration::from_secs(10);
     let replaced = Fleet::being_replaced(members);
-    let last = replaced.lasts.saturating_sub(STEADY);
+    let last = replaced.lasts.saturating_sub(STEADY_PERIOD);
     let lossy = Fleet { loss: 0.1, ..Fleet::starting(members) };
     let loads = [
         ("all start at once", Fleet::starting(members), Duration::ZERO, WITHIN),
-        ("all lose power at once", Fleet::losing_power(members), LATER, back),
+        ("all lose power at once", Fleet::losing_power(members), LATER, restored),
         ("one dies", Fleet::losing_one(members), LATER, LATER),
         ("a third was cut off for 10 s", Fleet::cut_apart(members), healed, healed),
         ("replaced, 3,200 a day", replaced, last, last),
         ("start, one datagram in ten lost", lossy, Duration::ZERO, WITHIN),
     ];
-    let row = |(load, fleet, begun, from): (&'static str, Fleet, Duration, Duration)| {
+    let row = |(load, fleet, start, from): (&'static str, Fleet, Duration, Duration)| {
         let fleet = Fleet { seed, ..fleet };
         let begin = Instant::now();
         let report = run(&fleet);
-        let work = begin.elapsed() / members as u32;
-        row(load, &fleet, &report, (begun, from), work)
+        let cpu_time = begin.elapsed() / members as u32;
+        row(load, &fleet, &report, (start, from), cpu_time)
     };
     loads.into_iter().map(row).collect()
 }
@@ -59,22 +60,22 @@
     load: &'static str,
     fleet: &Fleet,
     report: &Report,
-    (begun, from): (Duration, Duration),
-    work: Duration,
+    (start, from): (Duration, Duration),
+    cpu_time: Duration,
 ) -> Row {
     Row {
         load,
         members: fleet.members,
-        known: report.known(from, KNOWN),
+        known: report.known(from, KNOWN_SHARE),
         agreed: report.agreed(from),
-        sent: report.bytes(begun, fleet.lasts),
-        between_zones: report.total(begun, fleet.lasts).between_zones,
-        work,
+        sent: report.bytes(start, fleet.lasts),
+        between_zones: report.total(start, fleet.lasts).between_zones,
+        cpu_time,
     }
 }
 
 impl Row {
-    /// The heads of the columns.
+    /// The table header.
     pub const HEAD: &'static str = "| load | members | all know 99 in 100, s | all agree, s | \
         kB sent in the 10 s after it, mean | most | kB between zones, all | ms of processor a member |\n\
         |---|---|---|---|---|---|---|---|";
@@ -97,7 +98,7 @@
             mean / 1e3,
             *most as f64 / 1e3,
             self.between_zones as f64 / 1e3,
-            self.work.as_secs_f64() * 1e3
+            self.cpu_time.as_secs_f64() * 1e3
         )
     }
 }
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The two tenants of the brief at their sizes, as something that can be started.
+//! Descriptions of the two reference tenants at their full size.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,23 +10,23 @@
 use bergamot_standin::{Corpus, Geography, Instance, Limits, SearcherSettings};
 use serde_json::json;
 
-/// One way between zones of a region, from the brief.
+/// The one-way delay between zones of a region, from the requirements.
 const BETWEEN_ZONES: Duration = Duration::from_micros(1500);
-/// One way between regions, from the brief.
+/// The one-way delay between regions, from the requirements.
 const BETWEEN_REGIONS: Duration = Duration::from_millis(8);
-/// The first port of searchers.
+/// The port of the first searcher.
 const SEARCHER_PORT: u16 = 9000;
 
-/// How callers use a service.
+/// The kind of request that callers send to a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// The whole queue or panel.
+pub enum RequestKind {
+    /// Queries that return all documents.
     Scan,
-    /// The few best.
+    /// Queries for the top k documents.
     Top,
-    /// One record.
+    /// Queries for one record.
     Record,
-    /// A non-idempotent entry.
+    /// Non-idempotent writes.
     Write,
 }
 
@@ -35,27 +35,27 @@
 pub struct ServiceSpec {
     /// The name.
     pub name: &'static str,
-    /// How callers use it.
-    pub usage: Use,
+    /// The kind of request that callers send to it.
+    pub kind: RequestKind,
     /// The number of shards.
     pub shards: usize,
     /// The replicas of each shard.
     pub replicas: usize,
-    /// What its searchers can bear.
+    /// The capacity limits of its searchers.
     pub limits: Limits,
-    /// What it prefers, as in the document.
+    /// Its preference, `time` or `coverage`, as in the document.
     pub prefer: &'static str,
-    /// Its class, as in the document.
+    /// Its traffic class, as in the document.
     pub class: &'static str,
     /// The deadline of its requests.
     pub deadline: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How many documents it holds.
+    /// The number of documents in its index.
     pub documents: usize,
 }
 
-/// A tenant with its places, services and instances.
+/// A tenant with its regions, services and instances.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The workspace.
@@ -66,11 +66,11 @@
     pub services: Vec<ServiceSpec>,
     /// The number of instances.
     pub instances: usize,
-    /// One way from a caller to an entry.
-    pub to_callers: Duration,
-    /// The first two numbers of every address: the deployment's own part of loopback.
+    /// The one-way delay from a caller to an entry.
+    pub caller_delay: Duration,
+    /// The second and third octet of the loopback addresses reserved for the deployment.
     pub block: [u8; 2],
-    /// The seed of searchers.
+    /// The seed of the searchers.
     pub seed: Seed,
 }
 
@@ -80,11 +80,11 @@
 }
 
 impl Deployment {
-    /// Fraser Basin Airport Utility Commission, at the sizes of the brief.
+    /// Fraser Basin Airport Utility Commission, at the sizes of the requirements.
     pub fn fraser_basin(block: [u8; 2], seed: Seed) -> Self {
-        let spec = |name, usage, shards, limits, class, rate| ServiceSpec {
+        let spec = |name, kind, shards, limits, class, rate| ServiceSpec {
             name,
-            usage,
+            kind,
             shards,
             replicas: 2,
             limits,
@@ -98,23 +98,30 @@
             workspace: "fraser-basin",
             regions: vec!["yvr-south", "ylw-east", "yxs-main"],
             services: vec![
-                spec("queue-board", Use::Scan, 20, limits(2, 25, 6), "bulk", 20.0),
-                spec("ramp-desk", Use::Top, 30, limits(2, 25, 6), "interactive", 30.0),
-                spec("pad-tablet", Use::Record, 4, limits(2, 110, 1), "interactive", 30.0),
-                spec("glycol-ledger", Use::Write, 2, limits(2, 110, 1), "interactive", 15.0),
+                spec("queue-board", RequestKind::Scan, 20, limits(2, 25, 6), "bulk", 20.0),
+                spec("ramp-desk", RequestKind::Top, 30, limits(2, 25, 6), "interactive", 30.0),
+                spec("pad-tablet", RequestKind::Record, 4, limits(2, 110, 1), "interactive", 30.0),
+                spec(
+                    "glycol-ledger",
+                    RequestKind::Write,
+                    2,
+                    limits(2, 110, 1),
+                    "interactive",
+                    15.0,
+                ),
             ],
             instances: 8,
-            to_callers: Duration::from_millis(1),
+            caller_delay: Duration::from_millis(1),
             block,
             seed,
         }
     }
 
-    /// Caldermuir Annuity Quotations, at the sizes of the brief.
+    /// Caldermuir Annuity Quotations, at the sizes of the requirements.
     pub fn caldermuir(block: [u8; 2], seed: Seed) -> Self {
-        let spec = |name, usage, shards, replicas, limits, class, rate| ServiceSpec {
+        let spec = |name, kind, shards, replicas, limits, class, rate| ServiceSpec {
             name,
-            usage,
+            kind,
             shards,
             replicas,
             limits,
@@ -128,19 +135,43 @@
             workspace: "caldermuir",
             regions: vec!["leith-hall", "govan-hall", "dens-hall"],
             services: vec![
-                spec("adviser-desk", Use::Scan, 20, 2, limits(2, 25, 6), "bulk", 20.0),
-                spec("provider-feed", Use::Top, 30, 2, limits(2, 25, 6), "interactive", 30.0),
-                spec("call-centre", Use::Record, 5, 2, limits(3, 40, 1), "interactive", 30.0),
-                spec("compliance-log", Use::Write, 1, 5, limits(3, 40, 1), "interactive", 15.0),
+                spec("adviser-desk", RequestKind::Scan, 20, 2, limits(2, 25, 6), "bulk", 20.0),
+                spec(
+                    "provider-feed",
+                    RequestKind::Top,
+                    30,
+                    2,
+                    limits(2, 25, 6),
+                    "interactive",
+                    30.0,
+                ),
+                spec(
+                    "call-centre",
+                    RequestKind::Record,
+                    5,
+                    2,
+                    limits(3, 40, 1),
+                    "interactive",
+                    30.0,
+                ),
+                spec(
+                    "compliance-log",
+                    RequestKind::Write,
+                    1,
+                    5,
+                    limits(3, 40, 1),
+                    "interactive",
+                    15.0,
+                ),
             ],
             instances: 8,
-            to_callers: Duration::from_millis(3),
+            caller_delay: Duration::from_millis(3),
             block,
             seed,
         }
     }
 
-    /// Returns the zones with their regions.
+    /// Returns each zone with its region.
     pub fn zones(&self) -> Vec<(Name, Name)> {
         let zones = |region: &'static str| {
             ["a", "b"].map(|zone| (Name::from(format!("{region}-{zone}")), Name::from(region)))
@@ -148,19 +179,19 @@
         self.regions.iter().flat_map(|region| zones(region)).collect()
     }
 
-    /// Returns the address of an instance, counted from zero.
+    /// Returns the address of an instance, numbered from zero.
     pub fn instance(&self, number: usize) -> Ipv4Addr {
         let [a, b] = self.block;
         Ipv4Addr::new(127, a, b, 10 + number as u8)
     }
 
-    /// Returns the zone of an instance, counted from zero.
+    /// Returns the zone of an instance, numbered from zero.
     pub fn zone(&self, number: usize) -> Name {
         let zones = self.zones();
         Name::clone(&zones[number % zones.len()].0)
     }
 
-    /// Returns where the configuration service and the instance list listen.
+    /// Returns the addresses of the configuration service and of the instance list.
     pub fn platform(&self) -> [SocketAddr; 2] {
         let [a, b] = self.block;
         [7300, 7301].map(|port| SocketAddr::from(([127, a, b, 1], port)))
@@ -212,17 +243,17 @@
         .to_string()
     }
 
-    /// Returns the address and zone of a searcher, counted over all services. The
-    /// replicas of a shard stand in different regions.
+    /// Returns the address and zone of a searcher, numbered over all services. The
+    /// replicas of a shard are placed in different regions.
     pub fn searcher(&self, number: usize) -> (SocketAddr, Name) {
         let [a, b] = self.block;
         let zones = self.zones();
-        // Two zones a region: a stride of three changes the region and the zone.
+        // Regions have two zones each, so a stride of three changes the region and the zone.
         let zone = Name::clone(&zones[(number * 3 + number / 2) % zones.len()].0);
         (SocketAddr::from(([127, a, b, 2], SEARCHER_PORT + number as u16)), zone)
     }
 
-    /// Returns the settings of every searcher, with the service of each.
+    /// Returns the settings of every searcher, each with the index of its service.
     pub fn searchers(&self, versions: &[Version]) -> Vec<(usize, SearcherSettings)> {
         let geography = Arc::new(self.geography());
         let mut settings = Vec::new();
@@ -258,14 +289,15 @@
         Geography { zones, regions, between_zones: BETWEEN_ZONES, between_regions: BETWEEN_REGIONS }
     }
 
-    /// Returns how many descriptors both ends of all connections take that searchers accept.
+    /// Returns the number of file descriptors for both ends of all connections that the
+    /// searchers accept.
     pub fn descriptors(&self) -> usize {
         let accepts =
             |service: &ServiceSpec| service.shards * service.replicas * service.limits.connections;
         2 * self.services.iter().map(accepts).sum::<usize>()
     }
 
-    /// Returns the instance list with the given instances.
+    /// Returns an instance list with the given instances.
     pub fn list(&self, numbers: impl IntoIterator<Item = usize>) -> Vec<Instance> {
         let instance = |number| Instance {
             address: Name::from(self.instance(number).to_string()),
--- a/crates/bench/src/emulate.rs
+++ b/crates/bench/src/emulate.rs
@@ -1,4 +1,5 @@
-//! Runs of the model of the decisions: one load with any mechanism off, or each in turn.
+//! Simulations of the policy without sockets, with given mechanisms switched off or each of
+//! them in turn.
 
 use std::error::Error;
 use std::ops::Range;
@@ -12,40 +13,40 @@
     SegmentValue, WHITE,
 };
 
-/// The size of a picture, in points.
-const SIZE: (u32, u32) = (900, 420);
+/// The size of a plot, in points.
+const PLOT_SIZE: (u32, u32) = (900, 420);
 
-/// Which loads are played.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The seeds.
     pub seeds: Range<u64>,
-    /// How long requests come.
-    pub lasts: Duration,
+    /// The duration of load.
+    pub duration: Duration,
     /// How searchers pause: `never`, `recurring` or `random`.
     pub pauses: String,
-    /// The time from one pause to the next.
+    /// The time between the starts of two pauses.
     pub every: Duration,
-    /// How long a pause lasts.
+    /// The length of a pause.
     pub length: Duration,
-    /// How many times the usual requests come.
-    pub times: f64,
-    /// One way between regions.
-    pub far: Duration,
-    /// How many searchers in a hundred crash.
-    pub crash: usize,
-    /// The mechanisms that are off.
+    /// A factor on the default request rates.
+    pub rate_factor: f64,
+    /// The one-way delay between regions.
+    pub region_delay: Duration,
+    /// The percentage of searchers that crash.
+    pub crash_percent: usize,
+    /// The mechanisms that are switched off.
     pub without: Vec<String>,
     /// Whether each mechanism is switched off in turn.
     pub ablate: bool,
 }
 
-/// What the runs with some mechanisms off are worth.
+/// The result of the runs with a set of mechanisms switched off.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The mechanisms that are off.
+    /// The mechanisms that are switched off.
     pub without: String,
-    /// The mean worth of a request, over the seeds.
+    /// The mean value of a request, averaged over the seeds.
     pub worth: f64,
 }
 
@@ -59,26 +60,31 @@
             other => return Err(format!("pauses {other}, allowed: never, recurring or random")),
         };
         if length >= every {
-            return Err(format!("a pause of {length:?} is no shorter than {every:?}"));
+            return Err(format!(
+                "pause length {length:?}, allowed: less than the interval {every:?}"
+            ));
         }
-        if !(0.01..=100.0).contains(&self.times) {
-            return Err(format!("times {}, allowed: 0.01 to 100", self.times));
+        if !(0.01..=100.0).contains(&self.rate_factor) {
+            return Err(format!("times {}, allowed: 0.01 to 100", self.rate_factor));
         }
         let default = Load::default();
         let streams = default.streams.iter().cloned().map(|mut stream| {
-            stream.per_s *= self.times;
+            stream.per_s *= self.rate_factor;
             stream
         });
-        // The crash comes a third into the run, so that the members know their searchers.
-        let crash =
-            Crash { percent: self.crash, at: self.lasts / 3, lasts: Duration::from_secs(3) };
+        // Searchers crash after a third of the run, when members have statistics on them.
+        let crash = Crash {
+            percent: self.crash_percent,
+            at: self.duration / 3,
+            lasts: Duration::from_secs(3),
+        };
         Ok(Load {
             seed,
-            lasts: self.lasts,
+            lasts: self.duration,
             pauses,
-            far: self.far,
+            far: self.region_delay,
             streams: streams.collect(),
-            crash: (self.crash > 0).then_some(crash),
+            crash: (self.crash_percent > 0).then_some(crash),
             policy: *policy,
             ..default
         })
@@ -97,8 +103,8 @@
     }
 }
 
-/// Plays a plan, and prints what each run shows.
-pub fn play(plan: &Plan) -> Result<Vec<Run>, String> {
+/// Runs a plan and prints the report of each run.
+pub fn run_plan(plan: &Plan) -> Result<Vec<Run>, String> {
     let mut runs = vec![plan.run(&plan.without)?];
     if plan.ablate {
         for name in NAMES.iter().filter(|name| !plan.without.iter().any(|off| off == *name)) {
@@ -108,25 +114,25 @@
         }
     }
     println!("| without | worth | difference |\n|---|---|---|");
-    let first = runs[0].worth;
+    let baseline = runs[0].worth;
     for run in &runs {
-        println!("| {} | {:.4} | {:+.4} |", run.without, run.worth, run.worth - first);
+        println!("| {} | {:.4} | {:+.4} |", run.without, run.worth, run.worth - baseline);
     }
     Ok(runs)
 }
 
-/// Draws what each run loses, in hundredths of the worth that was asked for.
+/// Plots the loss of each run, as a percentage of the requested value.
 pub fn draw(runs: &[Run], path: &Path) -> Result<(), Box<dyn Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let lost = |run: &Run| (1.0 - run.worth) * 100.0;
-    let most = runs.iter().map(lost).fold(0.1, f64::max);
+    let highest = runs.iter().map(lost).fold(0.1, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .margin(20)
         .caption("lost, % of the worth asked for, by what is off", ("sans-serif", 16))
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d((0..runs.len()).into_segmented(), 0.0..most * 1.05)?;
+        .build_cartesian_2d((0..runs.len()).into_segmented(), 0.0..highest * 1.05)?;
     let name = |value: &SegmentValue<usize>| match value {
         SegmentValue::CenterOf(at) | SegmentValue::Exact(at) => {
             runs.get(*at).map(|run| run.without.clone()).unwrap_or_default()
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -1,9 +1,9 @@
-//! The chosen policy against the naive plan, on matched seeds.
+//! Comparison of the configured policy with a naive plan, on matched seeds.
 //!
 //! Each scenario runs twice with the same arrivals and the same faults: once with the
-//! naive plan (first replica, no hedge, no retry, wait for all) and once with the policy
-//! as it is set. Latency counts over all offered requests, and an unanswered one counts
-//! as its deadline at least.
+//! naive plan (first replica, no hedging, no retries, wait for all shards) and once with the
+//! configured policy. Latency percentiles cover all offered requests; an unanswered one
+//! counts as at least its deadline.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -15,38 +15,38 @@
 use bergamot_standin::Faults;
 
 use crate::cluster::Cluster;
-use crate::deployment::{Deployment, Use};
+use crate::deployment::{Deployment, RequestKind};
 use crate::history::Ending;
 use crate::load::{self, Load};
-use crate::score::{Card, Score};
+use crate::score::{Score, ServiceScores};
 
-/// How long connections are given to warm.
+/// The time for connections to be established before load starts.
 const WARM_UP: Duration = Duration::from_millis(1500);
 
-/// How long load runs before the fault of a scenario.
-const BEFORE: Duration = Duration::from_millis(500);
+/// The duration of load before the fault of a scenario is injected.
+const FAULT_DELAY: Duration = Duration::from_millis(500);
 
-/// What happens to the searchers.
+/// The fault injected into the searchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// No fault.
     Calm,
-    /// One request in fifty takes forty times as long.
+    /// 2% of the requests take 40 times as long.
     Stragglers,
-    /// A tenth of the searchers is cold for the whole run.
+    /// Every tenth searcher is cold for the whole run.
     ColdStarts,
-    /// One request in twenty is shed.
+    /// 5% of the requests are shed.
     Sheds,
-    /// One replica of every fourth shard dies.
+    /// One replica of every fourth shard is killed.
     LostReplica,
-    /// The index moves to the next version, searcher by searcher.
+    /// A new index version is rolled out, one searcher at a time.
     RollOut,
-    /// The searchers of one region take ten times as long.
+    /// The searchers of one region are ten times slower.
     SlowRegion,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Self; 7] = [
         Self::Calm,
         Self::Stragglers,
@@ -57,7 +57,7 @@
         Self::SlowRegion,
     ];
 
-    async fn strike(self, cluster: &Cluster) {
+    async fn inject(self, cluster: &Cluster) {
         let every = |step: usize| cluster.searchers.iter().map(|(_, s)| s).step_by(step);
         match self {
             Self::Calm => {}
@@ -90,12 +90,12 @@
     }
 }
 
-/// A plan under comparison.
+/// A query plan to compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// First replica, no hedge, no retry, wait for all.
+    /// First replica, no hedging, no retries, wait for all shards.
     Naive,
-    /// The policy as it is set.
+    /// The configured policy.
     Chosen,
 }
 
@@ -110,7 +110,7 @@
         settings
     }
 
-    /// The naive plan waits for all: every service prefers coverage.
+    /// Makes every service prefer coverage under the naive plan, which waits for all shards.
     fn deployment(self, mut deployment: Deployment) -> Deployment {
         if self == Self::Naive {
             for service in &mut deployment.services {
@@ -121,26 +121,26 @@
     }
 }
 
-/// What one run gave.
+/// The results of one run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What happened.
+    /// The scenario.
     pub scenario: Scenario,
-    /// Under which plan.
+    /// The query plan.
     pub plan: Plan,
-    /// With which seed.
+    /// The seed.
     pub seed: Seed,
     /// The scores of the services.
-    pub card: Card,
-    /// New connections during the load.
+    pub scores: ServiceScores,
+    /// The number of connections opened during the load.
     pub dials: usize,
-    /// The worst peak of connections against a limit.
+    /// The highest ratio of peak connections to the limit of a searcher.
     pub peak: f64,
-    /// Connections above a limit.
-    pub over: usize,
+    /// The number of connections above a limit.
+    pub over_limit: usize,
 }
 
-/// Runs a scenario under a plan on both tenants at once.
+/// Runs a scenario under a plan on both tenants concurrently.
 pub async fn run(
     scenario: Scenario,
     plan: Plan,
@@ -151,22 +151,22 @@
     let tenants =
         [Deployment::fraser_basin([block, 1], seed), Deployment::caldermuir([block, 2], seed)];
     let runs = tenants.map(|tenant| run_tenant(scenario, plan, plan.deployment(tenant), time));
-    let mut whole = Run {
+    let mut total = Run {
         scenario,
         plan,
         seed,
-        card: Card(std::collections::BTreeMap::new()),
+        scores: ServiceScores(std::collections::BTreeMap::new()),
         dials: 0,
         peak: 0.0,
-        over: 0,
+        over_limit: 0,
     };
     for part in futures::future::try_join_all(runs).await? {
-        whole.card.0.extend(part.card.0);
-        whole.dials += part.dials;
-        whole.peak = whole.peak.max(part.peak);
-        whole.over += part.over;
+        total.scores.0.extend(part.scores.0);
+        total.dials += part.dials;
+        total.peak = total.peak.max(part.peak);
+        total.over_limit += part.over_limit;
     }
-    Ok(whole)
+    Ok(total)
 }
 
 async fn run_tenant(
@@ -184,46 +184,50 @@
     let before = dials(&cluster);
     let load = load::run(&cluster.deployment, Load::of(&cluster.deployment, time));
     let script = async {
-        tokio::time::sleep(BEFORE).await;
-        scenario.strike(&cluster).await;
+        tokio::time::sleep(FAULT_DELAY).await;
+        scenario.inject(&cluster).await;
     };
     let (history, ()) = futures::future::join(load, script).await;
-    let (peak, over) = cluster.connections();
-    let card = Card::of(&history);
+    let (peak, over_limit) = cluster.connections();
+    let scores = ServiceScores::of(&history);
     let dials = dials(&cluster) - before;
     cluster.close().await;
-    Ok(Run { scenario, plan, seed, card, dials, peak, over })
+    Ok(Run { scenario, plan, seed, scores, dials, peak, over_limit })
 }
 
-/// The chosen plan over the naive one, worst service.
+/// The chosen plan relative to the naive one, for the worst service.
 #[derive(Clone, Copy, Debug)]
-pub struct Ratio {
-    /// Of the 99th percentiles.
+pub struct Comparison {
+    /// The highest ratio of 99th percentiles.
     pub p99: f64,
-    /// Of the mean coverages; the lowest.
+    /// The lowest ratio of mean coverages.
     pub coverage: f64,
-    /// Sub-queries for each shard asked under the chosen plan; the highest.
+    /// The highest number of sub-queries per covered shard under the chosen plan.
     pub extra_load: f64,
-    /// Connections above a limit under the chosen plan.
+    /// The number of connections above a limit under the chosen plan.
     pub over_limit: usize,
 }
 
-impl Ratio {
-    /// Compares two runs of one scenario over the services that are queried.
+impl Comparison {
+    /// Compares two runs of one scenario over the services that serve queries.
     pub fn of(naive: &Run, chosen: &Run) -> Self {
-        let mut worst =
-            Self { p99: 0.0, coverage: f64::INFINITY, extra_load: 0.0, over_limit: chosen.over };
-        for (service, score) in queried(chosen) {
-            let Some(base) = naive.card.0.get(service) else { continue };
+        let mut worst = Self {
+            p99: 0.0,
+            coverage: f64::INFINITY,
+            extra_load: 0.0,
+            over_limit: chosen.over_limit,
+        };
+        for (service, score) in query_services(chosen) {
+            let Some(base) = naive.scores.0.get(service) else { continue };
             let p99 = |score: &Score| score.percentile(99.0).as_secs_f64();
             worst.p99 = worst.p99.max(p99(score) / p99(base));
             worst.coverage = worst.coverage.min(score.coverage / base.coverage);
-            worst.extra_load = worst.extra_load.max(score.extra);
+            worst.extra_load = worst.extra_load.max(score.attempts_per_shard);
         }
         worst
     }
 
-    /// Returns the worse of two ratios, part by part.
+    /// Returns the worse value of each field.
     #[must_use]
     pub fn worse(self, other: Self) -> Self {
         Self {
@@ -234,8 +238,8 @@
         }
     }
 
-    /// Returns the line that ends an experiment.
-    pub fn line(&self) -> String {
+    /// Formats the final line of an experiment.
+    pub fn summary_line(&self) -> String {
         format!(
             "ratio p99={:.3} coverage={:.4} extra_load={:.3} over_limit={}",
             self.p99, self.coverage, self.extra_load, self.over_limit
@@ -243,27 +247,27 @@
     }
 }
 
-/// The services of both tenants that are queried, and not written to.
-fn queried(run: &Run) -> impl Iterator<Item = (&Name, &Score)> {
+/// Returns the scores of the services that serve queries rather than writes.
+fn query_services(run: &Run) -> impl Iterator<Item = (&Name, &Score)> {
     let seed = Seed(0);
     let tenants = [Deployment::fraser_basin([0, 0], seed), Deployment::caldermuir([0, 0], seed)];
     let written: Vec<String> = tenants
         .iter()
         .flat_map(|tenant| tenant.services.iter().map(move |service| (tenant.workspace, service)))
-        .filter(|(_, service)| service.usage == Use::Write)
+        .filter(|(_, service)| service.kind == RequestKind::Write)
         .map(|(workspace, service)| format!("{workspace}/{}", service.name))
         .collect();
-    run.card.0.iter().filter(move |(name, _)| !written.contains(&name.to_string()))
+    run.scores.0.iter().filter(move |(name, _)| !written.contains(&name.to_string()))
 }
 
-/// Writes the runs as CSV.
+/// Saves the runs as CSV.
 pub fn save(runs: &[Run], path: &Path) -> std::io::Result<()> {
     let mut text = String::from(
         "scenario,plan,seed,service,offered,complete,partial,refused,not_run,unknown,failed,lost,\
          p50_ms,p99_ms,p999_ms,coverage,attempts_per_shard,dials,peak,over_limit\n",
     );
     for run in runs {
-        for (service, score) in &run.card.0 {
+        for (service, score) in &run.scores.0 {
             let ms = |percent| score.percentile(percent).as_secs_f64() * 1e3;
             let Run { scenario, plan, seed, .. } = run;
             let _ = write!(text, "{scenario:?},{plan:?},{},{service},{}", seed.0, score.offered);
@@ -285,10 +289,10 @@
                 ms(99.0),
                 ms(99.9),
                 score.coverage,
-                score.extra,
+                score.attempts_per_shard,
                 run.dials,
                 run.peak,
-                run.over
+                run.over_limit
             );
         }
     }
--- a/crates/bench/src/history.rs
+++ b/crates/bench/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers asked and got, and what searchers did.
+//! Recorded requests, their outcomes as callers saw them, and the effects at searchers.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -9,82 +9,82 @@
 use bergamot_standin::Effect;
 use serde::{Deserialize, Serialize};
 
-/// How a caller's request ended.
+/// The outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// A whole answer, or a write that is done.
+    /// A complete answer, or a write that was executed.
     Complete,
-    /// An answer that says that it covers only a part.
+    /// An answer marked as partial.
     Partial,
-    /// Refused at once, with when to come back.
+    /// Rejected with a retry-after time.
     Refused,
-    /// A write that is said not to have run.
+    /// A write reported as not executed.
     NotRun,
-    /// A write that may have run.
+    /// A write that may have been executed.
     Unknown,
-    /// An error without when to come back.
+    /// An error without a retry-after time.
     Failed,
-    /// No final answer at all.
+    /// No final answer.
     Lost,
 }
 
-/// One request of a caller.
+/// One request sent by a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// The service, with its workspace.
+    /// The service, as `workspace/service`.
     pub service: Name,
-    /// When it was due, in microseconds since the start of the run.
+    /// The scheduled send time, in microseconds since the start of the run.
     pub due_us: u64,
-    /// How long after that its final answer came, in microseconds.
+    /// The latency from the scheduled time to the final answer, in microseconds.
     pub took_us: u64,
     /// Its deadline, in microseconds.
     pub deadline_us: u64,
-    /// How it ended.
+    /// The outcome.
     pub ending: Ending,
-    /// The write key, for writes.
+    /// The idempotency key, for writes.
     pub key: Option<Name>,
-    /// The record that was asked for or written to.
+    /// The key of the record that was queried or written.
     pub record: Option<Name>,
-    /// What the answer says and holds, for queries.
+    /// The stated coverage and the content of the answer, for queries.
     pub answer: Option<Answer>,
-    /// The entry that answered.
+    /// The address of the entry that answered.
     pub entry: Name,
 }
 
-/// What the answer to a query says, and what it holds.
+/// The stated coverage of a query answer, and what its hits show.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The version that the answer names.
+    /// The index version stated by the answer.
     pub version: Version,
-    /// The epoch that the answer names.
+    /// The epoch stated by the answer.
     pub epoch: u64,
-    /// The shards that had to be asked.
+    /// The number of shards that the query covers.
     pub asked: usize,
-    /// The shards that answered.
+    /// The number of shards that answered.
     pub answered: usize,
-    /// The shards that are named as missing.
+    /// The shards listed as missing.
     pub missing: Vec<usize>,
-    /// Whether the answer says that it is complete.
+    /// Whether the answer is marked as complete.
     pub complete: bool,
-    /// The sub-queries sent to searchers.
+    /// The number of sub-queries sent to searchers.
     pub attempts: u32,
     /// The versions and epochs found in the hits, as `v1e1`.
     pub stamps: Vec<Name>,
-    /// How many hits there are.
+    /// The number of hits.
     pub hits: usize,
-    /// How many hits there must be for the answer to be whole.
+    /// The number of hits in a complete answer.
     pub expected: usize,
-    /// Whether a hit stands twice, or is not of the record asked for.
+    /// Whether a hit is duplicated or belongs to a record that was not requested.
     pub foreign: bool,
 }
 
-/// Everything that happened in a run.
+/// The requests and effects recorded during a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The callers' requests.
+    /// The requests of all callers.
     pub requests: Vec<Request>,
-    /// What each searcher did.
+    /// The effects at each searcher.
     pub effects: HashMap<SocketAddr, Vec<Effect>>,
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl History {
-    /// Writes the history, one JSON line a request or effect.
+    /// Writes the history as one JSON line per request or effect.
     pub fn save(&self, file: &mut impl Write) -> std::io::Result<()> {
         for request in &self.requests {
             writeln!(file, "{}", serde_json::to_string(&Line::Request(request.clone()))?)?;
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Reads a history; empty lines and lines that begin with `#` are passed over.
+    /// Reads a history; skips empty lines and lines that begin with `#`.
     pub fn load(file: impl BufRead) -> std::io::Result<Self> {
         let mut history = Self::default();
         for line in file.lines() {
@@ -129,20 +129,20 @@
         Ok(history)
     }
 
-    /// Counts the requests that ended in a way.
+    /// Counts the requests with an outcome.
     pub fn count(&self, ending: Ending) -> usize {
         self.requests.iter().filter(|request| request.ending == ending).count()
     }
 }
 
 impl Request {
-    /// Returns the time to the final answer; an unanswered one counts as its deadline
-    /// at least.
-    pub fn took(&self) -> Duration {
-        let took = match self.ending {
+    /// Returns the latency; for a lost, refused or failed request at least its deadline, so
+    /// that fast errors do not improve the percentiles.
+    pub fn latency(&self) -> Duration {
+        let latency = match self.ending {
             Ending::Lost | Ending::Refused | Ending::Failed => self.took_us.max(self.deadline_us),
             _ => self.took_us,
         };
-        Duration::from_micros(took)
+        Duration::from_micros(latency)
     }
 }
--- a/crates/bench/src/leaving.rs
+++ b/crates/bench/src/leaving.rs
@@ -1,4 +1,4 @@
-//! How long searchers that leave still get new work.
+//! Measures how long searchers that are leaving still receive new sub-queries.
 
 use std::time::{Duration, Instant};
 
@@ -11,36 +11,36 @@
 use crate::deployment::Deployment;
 use crate::load::{self, Load};
 
-/// How long load runs before searchers leave.
+/// The duration of load before searchers start to leave.
 const BEFORE: Duration = Duration::from_secs(2);
 
-/// How long load runs after they did.
+/// The duration of load after searchers started to leave.
 const AFTER: Duration = Duration::from_secs(6);
 
-/// How the word gets out.
+/// How gathers learn that a searcher is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// The searchers say it in their answers.
+pub enum LeaveSignal {
+    /// Through a flag in the replies of the searchers.
     Answers,
-    /// Only the platform's list says it.
+    /// Only through the platform's instance list.
     List,
 }
 
-/// Lets one replica of each shard of two services leave under load, and returns the time
-/// from then to the last sub-query of each, sorted; zero where none came.
-pub async fn run(seed: Seed, block: [u8; 2], word: Word) -> Result<Vec<Duration>, Fault> {
+/// Makes one replica of each shard of two services leave under load. Returns, sorted, the
+/// time from then to the last sub-query that each of them received, or zero if none came.
+pub async fn run(seed: Seed, block: [u8; 2], signal: LeaveSignal) -> Result<Vec<Duration>, Fault> {
     let deployment = Deployment::fraser_basin(block, seed);
     let cluster = Cluster::start(deployment.clone(), Settings::default()).await?;
     tokio::time::sleep(BEFORE).await;
     let load = load::run(&cluster.deployment, Load::of(&deployment, BEFORE + AFTER));
     let script = async {
         tokio::time::sleep(BEFORE).await;
-        leave(&cluster, word);
+        start_leaving(&cluster, signal);
         Instant::now()
     };
     let (_, left) = futures::future::join(load, script).await;
     let last = |searcher: &bergamot_standin::Searcher| searcher.last_search();
-    let mut times: Vec<_> = leavers(&cluster)
+    let mut times: Vec<_> = leaving_searchers(&cluster)
         .map(|searcher| {
             last(searcher).map_or(Duration::ZERO, |last| last.saturating_duration_since(left))
         })
@@ -50,21 +50,21 @@
     Ok(times)
 }
 
-fn leavers(cluster: &Cluster) -> impl Iterator<Item = &bergamot_standin::Searcher> {
+fn leaving_searchers(cluster: &Cluster) -> impl Iterator<Item = &bergamot_standin::Searcher> {
     let services = ["queue-board", "ramp-desk"];
     services.into_iter().flat_map(|name| cluster.searchers_of(name).into_iter().step_by(2))
 }
 
-fn leave(cluster: &Cluster, word: Word) {
-    match word {
-        Word::Answers => {
-            for searcher in leavers(cluster) {
+fn start_leaving(cluster: &Cluster, signal: LeaveSignal) {
+    match signal {
+        LeaveSignal::Answers => {
+            for searcher in leaving_searchers(cluster) {
                 searcher.set_faults(Faults { leaving: true, ..Faults::default() });
             }
         }
-        Word::List => {
+        LeaveSignal::List => {
             let mut list = cluster.deployment.list(0..cluster.deployment.instances);
-            list.extend(leavers(cluster).map(|searcher| Instance {
+            list.extend(leaving_searchers(cluster).map(|searcher| Instance {
                 address: Name::from(searcher.address().to_string()),
                 zone: cluster.deployment.zone(0),
                 state: Name::from("leaving"),
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,9 +1,9 @@
-//! Load, histories, the checker and measurements.
+//! Load generator, history checker, fault injection and measurements.
 //!
-//! A [`deployment::Deployment`] describes one tenant of the brief at its size, a
+//! A [`deployment::Deployment`] describes one tenant at its full size, a
 //! [`cluster::Cluster`] runs it in one process over loopback, [`load`] sends seeded
-//! open-loop traffic and records a [`history::History`], and [`check`] decides from the
-//! history whether the promises held. See `docs/RUNNING.md`.
+//! open-loop traffic and records a [`history::History`], and [`check`] verifies the
+//! system's invariants against the history. See `docs/RUNNING.md`.
 
 pub mod caller;
 pub mod capacity;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,7 +1,7 @@
 //! Seeded open-loop load.
 //!
-//! Arrivals are drawn ahead of time and don't wait for answers; latency counts from the
-//! moment a request was due, so a slow system can't hide by slowing its callers down.
+//! Arrivals are drawn ahead of time and don't wait for answers. Latency is measured from
+//! the scheduled send time, which avoids coordinated omission.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -21,14 +21,14 @@
 use rand::RngExt;
 use tokio::task::JoinSet;
 
-use crate::caller::{Caller, GRACE};
-use crate::deployment::{Deployment, ServiceSpec, Use};
+use crate::caller::{Caller, DEADLINE_GRACE};
+use crate::deployment::{Deployment, RequestKind, ServiceSpec};
 use crate::history::{Answer, Ending, History, Request};
 
-/// How many hits a "few best" query asks for.
-const FEW: usize = 5;
+/// The number of hits that a top query requests.
+const TOP_K: usize = 5;
 
-/// One request that is due.
+/// A scheduled request.
 #[derive(Clone, Debug)]
 struct Arrival {
     due: Duration,
@@ -37,7 +37,7 @@
     zone: usize,
 }
 
-/// Draws the arrivals of all services over a time.
+/// Draws the arrivals of all services over the duration of a run.
 fn arrivals(deployment: &Deployment, seed: Seed, time: Duration, scale: f64) -> Vec<Arrival> {
     let zones = deployment.zones().len();
     let mut arrivals = Vec::new();
@@ -58,21 +58,21 @@
     arrivals
 }
 
-/// What load to send.
+/// The parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The seed of arrivals.
+    /// The seed of the arrivals.
     pub seed: Seed,
-    /// For how long requests arrive.
+    /// The time over which requests arrive.
     pub time: Duration,
-    /// What multiplies the rates of the deployment.
+    /// A factor on the request rates of the deployment.
     pub scale: f64,
-    /// The entries that callers know from before.
+    /// The entries that callers use for address discovery.
     pub entries: Vec<SocketAddr>,
 }
 
 impl Load {
-    /// The load of a deployment at its own rates, on all of its instances.
+    /// Returns the load of a deployment at its configured rates, on all of its instances.
     pub fn of(deployment: &Deployment, time: Duration) -> Self {
         let port = Settings::default().ports.entry_callers;
         let entry = |number| SocketAddr::from((deployment.instance(number), port));
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sends load to a deployment and returns what callers saw.
+/// Sends load to a deployment and returns the requests with their outcomes.
 pub async fn run(deployment: &Deployment, load: Load) -> History {
     let Load { seed, time, scale, entries } = load;
     let callers: Vec<_> = deployment
@@ -99,7 +99,7 @@
         let caller = Arc::clone(&callers[arrival.zone]);
         let (deployment, requests) = (Arc::clone(&deployment), Arc::clone(&requests));
         running.spawn(async move {
-            let request = one(&deployment, &caller, &arrival, due).await;
+            let request = send_request(&deployment, &caller, &arrival, due).await;
             requests.lock().unwrap_or_else(PoisonError::into_inner).push(request);
         });
         while running.try_join_next().is_some() {}
@@ -112,10 +112,15 @@
 }
 
 /// Sends one request and reads its final answer.
-async fn one(deployment: &Deployment, caller: &Caller, arrival: &Arrival, due: Instant) -> Request {
+async fn send_request(
+    deployment: &Deployment,
+    caller: &Caller,
+    arrival: &Arrival,
+    due: Instant,
+) -> Request {
     let spec = &deployment.services[arrival.service];
-    // The way from the caller to the entry and back, which loopback does not have.
-    tokio::time::sleep(deployment.to_callers).await;
+    // Emulates the network delay from the caller to the entry, and below that of the reply.
+    tokio::time::sleep(deployment.caller_delay).await;
     let mut request = Request {
         service: Name::from(format!("{}/{}", deployment.workspace, spec.name)),
         due_us: arrival.due.as_micros() as u64,
@@ -123,28 +128,28 @@
         deadline_us: spec.deadline.as_micros() as u64,
         ending: Ending::Lost,
         key: None,
-        record: matches!(spec.usage, Use::Record | Use::Write)
+        record: matches!(spec.kind, RequestKind::Record | RequestKind::Write)
             .then(|| Corpus::key(arrival.number as usize % spec.documents)),
         answer: None,
         entry: Name::from("no entry"),
     };
     if let Some((entry, prefix)) = caller.address().await {
         request.entry = Name::from(entry.to_string());
-        let http = prepare(deployment, spec, arrival, &prefix, &mut request);
-        match caller.send(entry, http, spec.deadline + GRACE).await {
-            Ok(reply) => take_reply(spec, &reply, &mut request),
+        let http = build_request(deployment, spec, arrival, &prefix, &mut request);
+        match caller.send(entry, http, spec.deadline + DEADLINE_GRACE).await {
+            Ok(reply) => record_reply(spec, &reply, &mut request),
             Err(fault) => {
-                log::warn!("load: A request to {} was lost: {fault}.", request.service);
-                caller.forget().await;
+                log::warn!("load: no final answer to a request to {}: {fault}", request.service);
+                caller.invalidate_addresses().await;
             }
         }
     }
-    tokio::time::sleep(deployment.to_callers).await;
+    tokio::time::sleep(deployment.caller_delay).await;
     request.took_us = due.elapsed().as_micros() as u64;
     request
 }
 
-fn prepare(
+fn build_request(
     deployment: &Deployment,
     spec: &ServiceSpec,
     arrival: &Arrival,
@@ -152,16 +157,16 @@
     request: &mut Request,
 ) -> HttpRequest<Full<Bytes>> {
     let record = request.record.as_deref().unwrap_or_default();
-    let (action, body) = match spec.usage {
-        Use::Scan => ("query", serde_json::json!({"shape": "scan"})),
-        Use::Top => ("query", serde_json::json!({"shape": "top", "k": FEW})),
-        Use::Record => ("query", serde_json::json!({"shape": "record", "key": record})),
-        Use::Write => ("write", serde_json::json!({"record": record, "body": "entry"})),
+    let (action, body) = match spec.kind {
+        RequestKind::Scan => ("query", serde_json::json!({"shape": "scan"})),
+        RequestKind::Top => ("query", serde_json::json!({"shape": "top", "k": TOP_K})),
+        RequestKind::Record => ("query", serde_json::json!({"shape": "record", "key": record})),
+        RequestKind::Write => ("write", serde_json::json!({"record": record, "body": "entry"})),
     };
     let path = format!("/v1/{}/{}/{action}", deployment.workspace, spec.name);
     let mut http =
         HttpRequest::post(path).header("x-deadline-ms", spec.deadline.as_millis().to_string());
-    if spec.usage == Use::Write {
+    if spec.kind == RequestKind::Write {
         let key = format!("{prefix}-{:x}", arrival.number);
         http = http.header("idempotency-key", &key);
         request.key = Some(Name::from(key));
@@ -169,9 +174,9 @@
     http.body(Full::new(Bytes::from(body.to_string()))).expect("the parts of a request are valid")
 }
 
-fn take_reply(spec: &ServiceSpec, reply: &Reply, request: &mut Request) {
-    request.ending = ending(reply);
-    if spec.usage == Use::Write {
+fn record_reply(spec: &ServiceSpec, reply: &Reply, request: &mut Request) {
+    request.ending = error_ending(reply);
+    if spec.kind == RequestKind::Write {
         if let Ok(answer) = serde_json::from_slice::<WriteAnswer>(reply.body()) {
             request.ending = match answer.outcome {
                 Status::Done => Ending::Complete,
@@ -188,10 +193,10 @@
     let Some(part) = body.services.first() else {
         return;
     };
-    let expected = match spec.usage {
-        Use::Scan => spec.documents,
-        Use::Top => FEW,
-        Use::Record | Use::Write => 1,
+    let expected = match spec.kind {
+        RequestKind::Scan => spec.documents,
+        RequestKind::Top => TOP_K,
+        RequestKind::Record | RequestKind::Write => 1,
     };
     request.answer = Some(Answer {
         version: part.version,
@@ -204,11 +209,12 @@
         stamps: stamps(&body.hits),
         hits: body.hits.len(),
         expected,
-        foreign: foreign(&body.hits, request.record.as_deref()),
+        foreign: has_foreign_hits(&body.hits, request.record.as_deref()),
     });
 }
 
-fn ending(reply: &Reply) -> Ending {
+/// Classifies an error reply by its status and retry-after time.
+fn error_ending(reply: &Reply) -> Ending {
     let retry = serde_json::from_slice::<ErrorBody>(reply.body())
         .is_ok_and(|error| error.retry_after_ms.is_some());
     match reply.status() {
@@ -217,15 +223,16 @@
     }
 }
 
-/// The distinct stamps of the hits' bodies, as `v1e1`.
+/// Returns the distinct version and epoch stamps in the hits' bodies, as `v1e1`.
 fn stamps(hits: &[Hit]) -> Vec<Name> {
     let stamp = |hit: &Hit| hit.body.split_once('@').map(|(_, stamp)| Name::from(stamp));
     let distinct: HashSet<Name> = hits.iter().filter_map(stamp).collect();
     distinct.into_iter().collect()
 }
 
-fn foreign(hits: &[Hit], record: Option<&str>) -> bool {
+/// Returns whether a hit is duplicated or has another key than the requested record.
+fn has_foreign_hits(hits: &[Hit], record: Option<&str>) -> bool {
     let distinct: HashSet<&str> = hits.iter().map(|hit| &*hit.key).collect();
-    let other = |hit: &Hit| record.is_some_and(|record| record != &*hit.key);
-    distinct.len() != hits.len() || hits.iter().any(other)
+    let has_other_key = |hit: &Hit| record.is_some_and(|record| record != &*hit.key);
+    distinct.len() != hits.len() || hits.iter().any(has_other_key)
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,13 +1,13 @@
-//! The load and experiment tool.
+//! Command-line tool for load generation, fault injection and experiments.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
 use bergamot_base::Seed;
 use bergamot_bench::check::check;
-use bergamot_bench::experiment::{self, Plan, Ratio, Run, Scenario};
+use bergamot_bench::experiment::{self, Comparison, Plan, Run, Scenario};
 use bergamot_bench::history::{Ending, History};
-use bergamot_bench::leaving::{self, Word};
+use bergamot_bench::leaving::{self, LeaveSignal};
 use bergamot_bench::storm::Storm;
 use bergamot_bench::{capacity, converge, emulate, plot, quickstart, stand_ins};
 use bergamot_config::Settings;
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    #[options(help = "run both tenants of the brief with stand-ins, and check the history")]
+    #[options(help = "run both reference tenants with stand-ins, and check the history")]
     Quickstart(Quickstart),
     #[options(help = "run the stand-ins of one tenant, for daemons started by hand")]
     StandIns(StandIns),
@@ -35,13 +35,13 @@
     Storm(StormOptions),
     #[options(help = "compare the policy with the naive plan on matched seeds")]
     Policy(PolicyOptions),
-    #[options(help = "measure how long searchers that leave still get new work")]
+    #[options(help = "measure how long leaving searchers still receive new sub-queries")]
     Leaving(LeavingOptions),
-    #[options(help = "play a load against the decisions alone, without sockets")]
+    #[options(help = "simulate the policy under load, without sockets")]
     Model(ModelOptions),
-    #[options(help = "measure how long members take to know each other, without sockets")]
+    #[options(help = "simulate how long fleet membership takes to converge, without sockets")]
     Fleet(FleetOptions),
-    #[options(help = "measure the slopes and rewrite the tables of docs/CAPACITY.md")]
+    #[options(help = "measure the costs and rewrite the tables of docs/CAPACITY.md")]
     Capacity(Capacity),
 }
 
@@ -107,19 +107,27 @@
     pauses: String,
     #[options(help = "the length of a pause in milliseconds", default = "250", meta = "MS")]
     length: u64,
-    #[options(help = "from one pause to the next in milliseconds", default = "6000", meta = "MS")]
+    #[options(
+        help = "the time between the starts of two pauses in milliseconds",
+        default = "6000",
+        meta = "MS"
+    )]
     every: u64,
-    #[options(help = "how many times the usual requests come", default = "1", no_short)]
+    #[options(help = "a factor on the default request rates", default = "1", no_short)]
     times: f64,
-    #[options(help = "one way between regions in milliseconds", default = "8", no_short)]
+    #[options(help = "the one-way delay between regions in milliseconds", default = "8", no_short)]
     far: u64,
-    #[options(help = "so many searchers in 100 crash for three seconds", default = "0", no_short)]
+    #[options(
+        help = "the percentage of searchers that crash for three seconds",
+        default = "0",
+        no_short
+    )]
     crash: usize,
-    #[options(help = "switch off a mechanism of the decisions", meta = "NAME", no_short)]
+    #[options(help = "switch off a mechanism of the policy", meta = "NAME", no_short)]
     without: Vec<String>,
     #[options(help = "run with each mechanism off in turn, beside all on", no_short)]
     ablate: bool,
-    #[options(help = "draw what each run is worth to this file (SVG)", meta = "FILE", no_short)]
+    #[options(help = "plot the loss of each run to this file (SVG)", meta = "FILE", no_short)]
     plot: Option<std::path::PathBuf>,
 }
 
@@ -185,11 +193,11 @@
         Some(Command::StandIns(options)) if !options.help => run_stand_ins(&options),
         Some(Command::Storm(options)) if !options.help => run_storms(&options),
         Some(Command::Storm(_)) => help::<StormOptions>("storm"),
-        Some(Command::Policy(options)) if !options.help => compare(&options),
+        Some(Command::Policy(options)) if !options.help => compare_policies(&options),
         Some(Command::Policy(_)) => help::<PolicyOptions>("policy"),
         Some(Command::Leaving(options)) if !options.help => measure_leaving(&options),
         Some(Command::Leaving(_)) => help::<LeavingOptions>("leaving"),
-        Some(Command::Model(options)) if !options.help => play_model(&options),
+        Some(Command::Model(options)) if !options.help => run_model(&options),
         Some(Command::Model(_)) => help::<ModelOptions>("model"),
         Some(Command::Fleet(options)) if !options.help => measure_fleets(&options),
         Some(Command::Fleet(_)) => help::<FleetOptions>("fleet"),
@@ -224,21 +232,21 @@
     if violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs the rounds of one seed and returns how many violations there were.
+/// Runs the rounds of one seed and returns the number of violations.
 async fn run_storm(seed: u64, rounds: usize) -> Result<usize, bergamot_net::Fault> {
     let block = [45, 1 + (seed % 200) as u8];
     let mut storm = Storm::start(Seed(seed), block, Settings::default()).await?;
-    let mut whole = History::default();
+    let mut total = History::default();
     for round in 0..rounds {
         let (history, [first, second]) = storm.round().await?;
         let (offered, complete) = (history.requests.len(), history.count(Ending::Complete));
         println!(
             "seed {seed} round {round}: {first} and {second}: offered {offered} complete {complete}"
         );
-        whole.requests.extend(history.requests);
+        total.requests.extend(history.requests);
     }
-    let (peak, over) = storm.finish(&mut whole);
-    let violations = check(&whole);
+    let (peak, over) = storm.finish(&mut total);
+    let violations = check(&total);
     for violation in &violations {
         println!("violation {violation}");
     }
@@ -246,8 +254,8 @@
     Ok(violations.len())
 }
 
-fn compare(options: &PolicyOptions) -> ExitCode {
-    let result = compare_all(options).and_then(|runs| {
+fn compare_policies(options: &PolicyOptions) -> ExitCode {
+    let result = run_comparisons(options).and_then(|runs| {
         let Some(path) = &options.save else { return Ok(()) };
         experiment::save(&runs, &path.with_extension("csv")).map_err(|error| error.to_string())?;
         plot::draw(&runs, &path.with_extension("svg")).map_err(|error| error.to_string())
@@ -262,11 +270,11 @@
 }
 
 #[tokio::main]
-async fn compare_all(options: &PolicyOptions) -> Result<Vec<Run>, String> {
+async fn run_comparisons(options: &PolicyOptions) -> Result<Vec<Run>, String> {
     let time = Duration::from_secs(options.seconds);
     let only = options.only.as_deref().unwrap_or_default();
     let mut runs = Vec::new();
-    let mut overall: Option<Ratio> = None;
+    let mut overall: Option<Comparison> = None;
     for seed in options.seed..options.seed + options.seeds {
         for scenario in Scenario::ALL {
             if !format!("{scenario:?}").contains(only) {
@@ -280,19 +288,19 @@
                 let peak = run.peak * 100.0;
                 println!(
                     "\n{scenario:?} {plan:?} seed {seed}: dials {} peak {peak:.0}% over {}",
-                    run.dials, run.over
+                    run.dials, run.over_limit
                 );
-                print!("{}", run.card);
+                print!("{}", run.scores);
                 pair.push(run);
             }
-            let ratio = Ratio::of(&pair[0], &pair[1]);
-            println!("{scenario:?} seed {seed}: {}", ratio.line());
+            let ratio = Comparison::of(&pair[0], &pair[1]);
+            println!("{scenario:?} seed {seed}: {}", ratio.summary_line());
             overall = Some(overall.map_or(ratio, |worst| worst.worse(ratio)));
             runs.extend(pair);
         }
     }
     if let Some(worst) = overall {
-        println!("\n{}", worst.line());
+        println!("\n{}", worst.summary_line());
     }
     Ok(runs)
 }
@@ -300,10 +308,11 @@
 #[tokio::main]
 async fn measure_leaving(options: &LeavingOptions) -> ExitCode {
     println!("| word | seed | searchers | p50 ms | p90 ms | worst ms |\n|---|---|---|---|---|---|");
-    for word in [Word::Answers, Word::List] {
+    for signal in [LeaveSignal::Answers, LeaveSignal::List] {
         for seed in options.seed..options.seed + options.seeds {
-            let block = [46, 1 + (seed % 100) as u8 + if word == Word::List { 100 } else { 0 }];
-            let times = match leaving::run(Seed(seed), block, word).await {
+            let block =
+                [46, 1 + (seed % 100) as u8 + if signal == LeaveSignal::List { 100 } else { 0 }];
+            let times = match leaving::run(Seed(seed), block, signal).await {
                 Ok(times) => times,
                 Err(fault) => {
                     eprintln!("{PROGRAM}: {fault}");
@@ -312,7 +321,7 @@
             };
             let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize].as_millis();
             println!(
-                "| {word:?} | {seed} | {} | {} | {} | {} |",
+                "| {signal:?} | {seed} | {} | {} | {} | {} |",
                 times.len(),
                 at(0.5),
                 at(0.9),
@@ -323,20 +332,20 @@
     ExitCode::SUCCESS
 }
 
-fn play_model(options: &ModelOptions) -> ExitCode {
+fn run_model(options: &ModelOptions) -> ExitCode {
     let plan = emulate::Plan {
         seeds: options.seed..options.seed + options.seeds,
-        lasts: Duration::from_secs(options.seconds),
+        duration: Duration::from_secs(options.seconds),
         pauses: options.pauses.clone(),
         every: Duration::from_millis(options.every),
         length: Duration::from_millis(options.length),
-        times: options.times,
-        far: Duration::from_millis(options.far),
-        crash: options.crash,
+        rate_factor: options.times,
+        region_delay: Duration::from_millis(options.far),
+        crash_percent: options.crash,
         without: options.without.clone(),
         ablate: options.ablate,
     };
-    let result = emulate::play(&plan).and_then(|runs| {
+    let result = emulate::run_plan(&plan).and_then(|runs| {
         let Some(path) = &options.plot else { return Ok(()) };
         emulate::draw(&runs, path).map_err(|error| format!("draw {}: {error}", path.display()))
     });
@@ -349,16 +358,16 @@
     }
 }
 
-/// The sizes of a small deployment, a grown one, a large one, and the one that is designed for.
-const FLEETS: [usize; 4] = [8, 75, 300, 1800];
+/// The default fleet sizes: small, medium, large, and the design size.
+const FLEET_SIZES: [usize; 4] = [8, 75, 300, 1800];
 
-/// More members than a small machine's memory holds the views of.
-const LARGEST_FLEET: usize = 4000;
+/// The largest fleet size. The views of more members exceed the memory of a small machine.
+const MAX_FLEET_SIZE: usize = 4000;
 
 fn measure_fleets(options: &FleetOptions) -> ExitCode {
-    let sizes = if options.members.is_empty() { &FLEETS[..] } else { &options.members };
-    if let Some(size) = sizes.iter().find(|size| !(2..=LARGEST_FLEET).contains(*size)) {
-        eprintln!("{PROGRAM}: members {size}, allowed: 2 to {LARGEST_FLEET}");
+    let sizes = if options.members.is_empty() { &FLEET_SIZES[..] } else { &options.members };
+    if let Some(size) = sizes.iter().find(|size| !(2..=MAX_FLEET_SIZE).contains(*size)) {
+        eprintln!("{PROGRAM}: members {size}, allowed: 2 to {MAX_FLEET_SIZE}");
         return ExitCode::from(2);
     }
     println!("seed {}\n\n{}", options.seed, converge::Row::HEAD);
@@ -389,7 +398,7 @@
     let written = match stand_ins::write_files(&deployment, &options.out) {
         Ok(written) => written,
         Err(error) => {
-            eprintln!("{PROGRAM}: write files {}: {error}", options.out.display());
+            eprintln!("{PROGRAM}: write files to {}: {error}", options.out.display());
             return ExitCode::FAILURE;
         }
     };
@@ -433,6 +442,6 @@
             return ExitCode::FAILURE;
         }
     }
-    println!("{}", summary.line());
+    println!("{}", summary.summary_line());
     if summary.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of experiments, as SVG.
+//! SVG plots of experiments.
 
 use std::error::Error;
 use std::path::Path;
@@ -11,14 +11,14 @@
 use crate::experiment::{Plan, Run};
 
 /// The size of a plot, in points.
-const SIZE: (u32, u32) = (900, 420);
+const PLOT_SIZE: (u32, u32) = (900, 420);
 
-/// Draws the worst 99th percentile over the services of each scenario, naive beside chosen.
+/// Plots the 99th percentile of the worst service in each scenario, for both plans.
 pub fn draw(runs: &[Run], path: &Path) -> Result<(), Box<dyn Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let worst = |run: &Run| {
-        let scores = run.card.0.values();
+        let scores = run.scores.0.values();
         scores.map(|score| score.percentile(99.0).as_secs_f64() * 1e3).fold(0.0, f64::max)
     };
     let mut scenarios: Vec<String> = Vec::new();
@@ -47,14 +47,14 @@
         })
         .draw()?;
     for run in runs {
-        let place = scenarios.iter().position(|name| *name == format!("{:?}", run.scenario));
-        let Some(place) = place else { continue };
+        let index = scenarios.iter().position(|name| *name == format!("{:?}", run.scenario));
+        let Some(index) = index else { continue };
         let (color, margins) = match run.plan {
             Plan::Naive => (RED, (10, 50)),
             Plan::Chosen => (BLUE, (50, 10)),
         };
         let corners =
-            [(SegmentValue::Exact(place), 0.0), (SegmentValue::Exact(place + 1), worst(run))];
+            [(SegmentValue::Exact(index), 0.0), (SegmentValue::Exact(index + 1), worst(run))];
         let mut bar = Rectangle::new(corners, color.filled());
         bar.set_margin(0, 0, margins.0, margins.1);
         chart.draw_series([bar])?;
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -1,4 +1,4 @@
-//! The main job with stand-ins: both tenants at their sizes, load, and the check.
+//! Runs both tenants with stand-ins at full size under load and checks the history.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
 use crate::deployment::Deployment;
 use crate::history::{Ending, History};
 use crate::load::{self, Load};
-use crate::score::Card;
+use crate::score::ServiceScores;
 
-/// How long the connections are given to warm before the load starts.
+/// The time for connections to be established before load starts.
 const WARM_UP: Duration = Duration::from_millis(1500);
 
-/// What the quick start found.
+/// The result of a quick start.
 #[derive(Clone, Debug)]
 pub struct Summary {
     /// The requests of all tenants.
     pub history: History,
-    /// The requests without a final answer.
+    /// The number of requests without a final answer.
     pub lost: usize,
-    /// The writes with more than one effect.
+    /// The number of writes that broke at-most-once execution.
     pub doubled: usize,
-    /// The answers of more than one snapshot.
+    /// The number of answers that mix snapshots.
     pub mixed: usize,
-    /// Every other violation.
+    /// The number of other violations.
     pub other: usize,
 }
 
 impl Summary {
-    /// Tells whether the run is a success.
+    /// Returns whether no violation was found.
     pub fn passed(&self) -> bool {
         self.lost + self.doubled + self.mixed + self.other == 0
     }
 
-    /// Returns the line that ends the quick start.
-    pub fn line(&self) -> String {
+    /// Formats the final line of a quick start.
+    pub fn summary_line(&self) -> String {
         let history = &self.history;
         format!(
             "quickstart: offered={} complete={} partial={} refused={} lost={} doubled={} mixed={}",
@@ -53,7 +53,7 @@
     }
 }
 
-/// Runs both tenants in this process and checks what they saw.
+/// Runs both tenants in this process and checks their history.
 pub async fn run(seed: Seed, time: Duration, blocks: [[u8; 2]; 2]) -> Result<Summary, Fault> {
     let deployments =
         [Deployment::fraser_basin(blocks[0], seed), Deployment::caldermuir(blocks[1], seed)];
@@ -66,20 +66,20 @@
         .iter()
         .map(|cluster| load::run(&cluster.deployment, Load::of(&cluster.deployment, time)));
     let histories = futures::future::join_all(loads).await;
-    let mut whole = History::default();
+    let mut total = History::default();
     for (cluster, mut history) in clusters.iter().zip(histories) {
         cluster.collect(&mut history);
-        print!("{}", Card::of(&history));
-        let (peak, over) = cluster.connections();
+        print!("{}", ServiceScores::of(&history));
+        let (peak, over_limit) = cluster.connections();
         println!(
-            "{}: peak connections {:.0}% of the limit, {over} above it\n",
+            "{}: peak connections {:.0}% of the limit, {over_limit} above it\n",
             cluster.deployment.workspace,
             peak * 100.0
         );
-        whole.requests.extend(history.requests);
-        whole.effects.extend(history.effects);
+        total.requests.extend(history.requests);
+        total.effects.extend(history.effects);
     }
-    Ok(summarize(whole))
+    Ok(summarize(total))
 }
 
 fn summarize(history: History) -> Summary {
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -1,4 +1,4 @@
-//! Percentiles, always beside their denominators.
+//! Latency percentiles and outcome counts per service.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,34 +9,34 @@
 
 use crate::history::{Ending, History, Request};
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 120_000_000;
+/// The upper bound of the histogram, in microseconds; longer latencies saturate.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// The score of one service.
 #[derive(Clone, Debug)]
 pub struct Score {
-    /// How many requests were offered.
+    /// The number of offered requests.
     pub offered: usize,
-    /// How many requests ended in each way.
+    /// The number of requests by outcome.
     pub endings: BTreeMap<&'static str, usize>,
     /// The mean coverage over all offered requests.
     pub coverage: f64,
-    /// Sub-queries for each shard asked.
-    pub extra: f64,
-    times: Histogram<u64>,
+    /// The number of sub-queries per covered shard.
+    pub attempts_per_shard: f64,
+    latencies: Histogram<u64>,
 }
 
 impl Score {
     /// Scores the requests of one service.
     pub fn of<'a>(requests: impl Iterator<Item = &'a Request>) -> Self {
-        let mut times = Histogram::new_with_bounds(1, LONGEST_US, 3)
+        let mut latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
             .expect("the bounds of the histogram are constants and valid");
         let (mut offered, mut coverage) = (0, 0.0);
         let (mut attempts, mut asked) = (0, 0);
         let mut endings = BTreeMap::new();
         for request in requests {
             offered += 1;
-            times.saturating_record(request.took().as_micros().max(1) as u64);
+            latencies.saturating_record(request.latency().as_micros().max(1) as u64);
             *endings.entry(label(request.ending)).or_default() += 1;
             match &request.answer {
                 Some(answer) => {
@@ -52,17 +52,17 @@
             offered,
             endings,
             coverage: coverage / offered.max(1) as f64,
-            extra: if asked == 0 { 1.0 } else { attempts as f64 / asked as f64 },
-            times,
+            attempts_per_shard: if asked == 0 { 1.0 } else { attempts as f64 / asked as f64 },
+            latencies,
         }
     }
 
     /// Returns a percentile over all offered requests.
     pub fn percentile(&self, percent: f64) -> Duration {
-        Duration::from_micros(self.times.value_at_percentile(percent))
+        Duration::from_micros(self.latencies.value_at_percentile(percent))
     }
 
-    /// Returns how many requests ended in a way.
+    /// Returns the number of requests with an outcome.
     pub fn ended(&self, ending: Ending) -> usize {
         self.endings.get(label(ending)).copied().unwrap_or(0)
     }
@@ -82,24 +82,24 @@
 
 /// The scores of all services of a run.
 #[derive(Clone, Debug)]
-pub struct Card(pub BTreeMap<Name, Score>);
+pub struct ServiceScores(pub BTreeMap<Name, Score>);
 
-impl Card {
-    /// Scores a history service by service.
+impl ServiceScores {
+    /// Scores each service of a history.
     pub fn of(history: &History) -> Self {
         let mut services: Vec<_> =
             history.requests.iter().map(|request| Name::clone(&request.service)).collect();
         services.sort();
         services.dedup();
         let score = |service: &Name| {
-            let own = history.requests.iter().filter(|request| request.service == *service);
-            (Name::clone(service), Score::of(own))
+            let requests = history.requests.iter().filter(|request| request.service == *service);
+            (Name::clone(service), Score::of(requests))
         };
         Self(services.iter().map(score).collect())
     }
 }
 
-impl fmt::Display for Card {
+impl fmt::Display for ServiceScores {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
@@ -136,7 +136,7 @@
                 ms(99.0),
                 ms(99.9),
                 score.coverage,
-                score.extra
+                score.attempts_per_shard
             )?;
         }
         Ok(())
--- a/crates/bench/src/stand_ins.rs
+++ b/crates/bench/src/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as a process of their own, for daemons that are started by hand.
+//! Stand-ins in a separate process, for daemons that are started by hand.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use crate::cluster::Cluster;
 use crate::deployment::Deployment;
 
-/// The part of loopback on which hand-started deployments run.
+/// The loopback address block of deployments that are started by hand.
 const BLOCK: [u8; 2] = [42, 1];
 
-/// Returns the deployment of a tenant by its workspace.
+/// Returns the deployment of the tenant with a workspace.
 pub fn tenant(workspace: &str, seed: Seed) -> Option<Deployment> {
     let tenants = [Deployment::fraser_basin(BLOCK, seed), Deployment::caldermuir(BLOCK, seed)];
     tenants.into_iter().find(|tenant| tenant.workspace == workspace)
@@ -32,7 +32,7 @@
     Ok(written)
 }
 
-/// Returns the settings file of an instance that reads a platform.
+/// Returns the content of the settings file of an instance that uses a platform.
 pub fn settings_text(deployment: &Deployment, number: usize, platform: [SocketAddr; 2]) -> String {
     let [configuration, instances] = platform;
     let mut text = String::new();
--- a/crates/bench/src/storm.rs
+++ b/crates/bench/src/storm.rs
@@ -1,8 +1,8 @@
-//! Pairs of faults under load, drawn from a seed, with the check of the history.
+//! Randomized fault injection: pairs of faults under load, drawn from a seed.
 //!
-//! Each round draws two different faults, lets both happen while load runs, and heals
-//! what can be healed. The short fixed set runs in the tests; `bergamot-bench storm`
-//! runs as many rounds and seeds as wanted.
+//! Each round draws two different faults, injects both while load runs, and clears the
+//! reversible ones afterwards. The tests run a short fixed set; `bergamot-bench storm`
+//! runs any number of rounds and seeds.
 
 use std::fmt;
 use std::time::Duration;
@@ -20,39 +20,39 @@
 use crate::history::History;
 use crate::load::{self, Load};
 
-/// How long the load of one round lasts.
-const ROUND: Duration = Duration::from_secs(3);
+/// The duration of load in one round.
+const ROUND_DURATION: Duration = Duration::from_secs(3);
 
-/// How long after the start of a round its faults happen.
-const CALM: Duration = Duration::from_millis(500);
+/// The time from the start of a round to the injection of its faults.
+const FAULT_DELAY: Duration = Duration::from_millis(500);
 
-/// How long connections are given to warm before the first round.
+/// The time for connections to be established before the first round.
 const WARM_UP: Duration = Duration::from_millis(1500);
 
-/// A fault of a storm.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A part of the searchers straggles.
+    /// Some searchers delay a part of their replies.
     Stragglers,
-    /// A part of the searchers sheds load.
+    /// Some searchers shed load.
     Sheds,
-    /// A part of the searchers cuts replies, to writes too.
+    /// Some searchers cut replies off, including replies to writes.
     Cuts,
-    /// A part of the searchers answers for another version.
+    /// Some searchers answer from another version than requested.
     Liars,
-    /// A part of the searchers is leaving.
+    /// Some searchers are leaving.
     Leaving,
-    /// One searcher dies and comes back as another run.
+    /// One searcher is killed and restarted.
     Death,
-    /// The index moves to the next version, searcher by searcher.
+    /// A new index version is rolled out, one searcher at a time.
     RollOut,
     /// The configuration service is down.
     ServiceDown,
-    /// The configuration service answers with the first document.
+    /// The configuration service returns the first document.
     ServiceStale,
-    /// Operators publish a new revision.
+    /// A new document revision is published.
     Publish,
-    /// An instance is replaced by a fresh one.
+    /// An instance is replaced by a new one.
     Replacement,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// A storm over one cluster.
+/// A sequence of fault rounds on one cluster.
 #[derive(Debug)]
 pub struct Storm {
     cluster: Cluster,
@@ -89,7 +89,7 @@
 }
 
 impl Storm {
-    /// Starts Fraser Basin for a storm.
+    /// Starts the Fraser Basin deployment.
     pub async fn start(seed: Seed, block: [u8; 2], settings: Settings) -> Result<Self, NetFault> {
         let deployment = Deployment::fraser_basin(block, seed);
         let next_instance = deployment.instances;
@@ -99,7 +99,7 @@
         Ok(Self { cluster, rng, version: 1, revision: 1, next_instance })
     }
 
-    /// Runs one round and returns what callers saw in it, and the faults.
+    /// Runs one round and returns its history and the injected faults.
     pub async fn round(&mut self) -> Result<(History, [Fault; 2]), NetFault> {
         let mut faults = Fault::ALL;
         faults.shuffle(&mut self.rng);
@@ -109,35 +109,36 @@
         let entries = self.cluster.instances.keys();
         let entries = entries.map(|n| (deployment.instance(*n), port).into()).collect();
         let seed = Seed(self.rng.random());
-        let load = Load { seed, entries, ..Load::of(&deployment, ROUND) };
+        let load = Load { seed, entries, ..Load::of(&deployment, ROUND_DURATION) };
         let load = tokio::spawn(async move { load::run(&deployment, load).await });
-        tokio::time::sleep(CALM).await;
+        tokio::time::sleep(FAULT_DELAY).await;
         for fault in pair {
-            self.strike(fault).await?;
+            self.inject(fault).await?;
         }
         let history = load
             .await
             .map_err(|error| NetFault::new("run load", bergamot_base::Peer::Here, error))?;
-        self.heal();
+        self.clear_faults();
         Ok((history, pair))
     }
 
-    /// Adds what the searchers did over all rounds.
+    /// Adds the effects of all rounds to a history, and returns the highest ratio of peak
+    /// connections to the limit and the number of connections above a limit.
     pub fn finish(&self, history: &mut History) -> (f64, usize) {
         self.cluster.collect(history);
         self.cluster.connections()
     }
 
-    async fn strike(&mut self, fault: Fault) -> Result<(), NetFault> {
+    async fn inject(&mut self, fault: Fault) -> Result<(), NetFault> {
         match fault {
             Fault::Stragglers => {
-                self.some(|f| Faults { straggle: 0.2, straggle_factor: 40.0, ..f });
+                self.modify_some(|f| Faults { straggle: 0.2, straggle_factor: 40.0, ..f });
             }
-            Fault::Sheds => self.some(|f| Faults { shed: 0.3, ..f }),
-            Fault::Cuts => self.some(|f| Faults { cut: 0.2, cut_writes: 0.3, ..f }),
-            Fault::Liars => self.some(|f| Faults { wrong_version: true, ..f }),
-            Fault::Leaving => self.leave(),
-            Fault::Death => self.death().await?,
+            Fault::Sheds => self.modify_some(|f| Faults { shed: 0.3, ..f }),
+            Fault::Cuts => self.modify_some(|f| Faults { cut: 0.2, cut_writes: 0.3, ..f }),
+            Fault::Liars => self.modify_some(|f| Faults { wrong_version: true, ..f }),
+            Fault::Leaving => self.start_leaving(),
+            Fault::Death => self.restart_one().await?,
             Fault::RollOut => self.roll_out().await,
             Fault::ServiceDown => self.cluster.platform.set_configuration_down(true),
             Fault::ServiceStale => {
@@ -145,13 +146,13 @@
                 self.cluster.platform.set_stale(Some(&first));
             }
             Fault::Publish => self.publish(),
-            Fault::Replacement => self.replace().await?,
+            Fault::Replacement => self.replace_instance().await?,
         }
         Ok(())
     }
 
-    /// Changes how a quarter of the searchers fail, on top of how they fail already.
-    fn some(&mut self, change: impl Fn(Faults) -> Faults) {
+    /// Modifies the faults of a random quarter of the searchers, keeping faults already set.
+    fn modify_some(&mut self, change: impl Fn(Faults) -> Faults) {
         for (_, searcher) in &self.cluster.searchers {
             if self.rng.random_ratio(1, 4) {
                 searcher.set_faults(change(searcher.faults()));
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Lets a quarter of the first replicas leave; the others of their shards stay.
-    fn leave(&mut self) {
+    /// Marks a random quarter of the first replicas as leaving, so that every shard keeps one.
+    fn start_leaving(&mut self) {
         for (_, searcher) in self.cluster.searchers.iter().step_by(2) {
             if self.rng.random_ratio(1, 4) {
                 searcher.set_faults(Faults { leaving: true, ..searcher.faults() });
@@ -168,10 +169,10 @@
         }
     }
 
-    async fn death(&mut self) -> Result<(), NetFault> {
+    async fn restart_one(&mut self) -> Result<(), NetFault> {
         let searchers: Vec<usize> = (0..self.cluster.searchers.len()).collect();
-        let victim = searchers.choose(&mut self.rng).copied().unwrap_or(0);
-        self.cluster.restart_searcher(victim, &[self.version]).await
+        let target = searchers.choose(&mut self.rng).copied().unwrap_or(0);
+        self.cluster.restart_searcher(target, &[self.version]).await
     }
 
     async fn roll_out(&mut self) {
@@ -188,20 +189,21 @@
         self.cluster.platform.publish(&self.cluster.deployment.document(self.revision));
     }
 
-    async fn replace(&mut self) -> Result<(), NetFault> {
+    async fn replace_instance(&mut self) -> Result<(), NetFault> {
         let numbers: Vec<usize> = self.cluster.instances.keys().copied().collect();
-        let victim = numbers.choose(&mut self.rng).copied().unwrap_or(0);
-        let fresh = self.next_instance;
+        let target = numbers.choose(&mut self.rng).copied().unwrap_or(0);
+        let replacement = self.next_instance;
         self.next_instance += 1;
-        self.cluster.add(fresh).await?;
-        let listed = numbers.into_iter().chain([fresh]).filter(|number| *number != victim);
+        self.cluster.add(replacement).await?;
+        let listed = numbers.into_iter().chain([replacement]).filter(|number| *number != target);
         self.cluster.platform.list(self.cluster.deployment.list(listed));
-        self.cluster.remove(victim).await;
+        self.cluster.remove(target).await;
         Ok(())
     }
 
-    /// Ends the faults that end; what left, died or was published stays so.
-    fn heal(&self) {
+    /// Clears the reversible faults. Searchers that are leaving stay so, and restarts and
+    /// published revisions are not undone.
+    fn clear_faults(&self) {
         self.cluster.platform.set_down(false);
         self.cluster.platform.set_stale(None);
         for (_, searcher) in &self.cluster.searchers {
--- a/crates/bench/src/wait.rs
+++ b/crates/bench/src/wait.rs
@@ -1,25 +1,25 @@
-//! Waiting for what must happen, in tests.
+//! Polling for a condition with a timeout, for tests.
 
 use std::time::{Duration, Instant};
 
-/// How long anything that must happen is waited for.
+/// The timeout of [`until`].
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// How often the condition is looked at.
-const INTERVAL: Duration = Duration::from_millis(50);
+/// The time between two evaluations of the condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 ///
 /// # Panics
 ///
-/// Panics with `what` was waited for when patience ends.
+/// Panics, naming `what`, if the condition does not hold within [`PATIENCE`].
 pub async fn until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let end = Instant::now() + PATIENCE;
-    while Instant::now() < end {
+    let deadline = Instant::now() + PATIENCE;
+    while Instant::now() < deadline {
         if condition().await {
             return;
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain until {what}");
+    panic!("timed out after {PATIENCE:?} waiting until {what}");
 }
--- a/crates/bench/tests/answers.rs
+++ b/crates/bench/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers under failure: one snapshot, true coverage, each caller's own answer.
+//! Answers under faults: one snapshot, correct coverage, no mixed-up answers.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use support::{assert_held, start, under_load, until};
+use support::{assert_invariants, start, under_load, until};
 
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(15);
@@ -34,7 +34,7 @@
         }
     })
     .await;
-    assert_held(&history);
+    assert_invariants(&history);
     assert_eq!(versions(&history), HashSet::from([1, 2]), "both versions were read");
 }
 
@@ -43,17 +43,20 @@
     let cluster = start([60, 2]).await;
     let history = under_load(&cluster, 3 * SECOND, async {
         tokio::time::sleep(SECOND).await;
-        // No overlap at all: the old version is gone before the new one is known.
+        // There is no overlap: the old version is gone before gathers learn of the new one.
         for (_, searcher) in &cluster.searchers {
             searcher.set_versions([2]);
         }
     })
     .await;
-    assert_held(&history);
-    assert!(versions(&history).contains(&2), "the new version is found");
+    assert_invariants(&history);
+    assert!(versions(&history).contains(&2), "the new version is used");
     let late: Vec<_> =
         history.requests.iter().filter(|request| request.due_us > 2_500_000).collect();
-    assert!(late.iter().all(|request| request.ending == Ending::Complete), "and is whole again");
+    assert!(
+        late.iter().all(|request| request.ending == Ending::Complete),
+        "answers are complete again"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -62,7 +65,7 @@
     let spec = cluster.deployment.services[0].clone();
     let history = under_load(&cluster, 4 * SECOND, async {
         tokio::time::sleep(SECOND).await;
-        // The new map turns the order of the shards around; searchers hold both.
+        // The new map reverses the order of the shards; searchers hold both epochs.
         for (number, searcher) in cluster.searchers_of(spec.name).into_iter().enumerate() {
             let position = spec.shards - 1 - number / spec.replicas;
             let Corpus { shards, documents, .. } =
@@ -72,7 +75,7 @@
         cluster.platform.publish(&repartitioned(&cluster.deployment.document(2)));
     })
     .await;
-    assert_held(&history);
+    assert_invariants(&history);
     let epochs: HashSet<u64> = history
         .requests
         .iter()
@@ -81,7 +84,7 @@
     assert_eq!(epochs, HashSet::from([1, 2]), "both maps were used");
 }
 
-/// Turns the shards of the first service around under a new epoch.
+/// Reverses the shards of the first service under a new epoch.
 fn repartitioned(document: &str) -> String {
     let mut document: serde_json::Value = serde_json::from_str(document).expect("valid JSON");
     let service = &mut document["workspaces"][0]["services"][0];
@@ -93,17 +96,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_lie_about_their_version_are_never_merged() {
     let cluster = start([60, 4]).await;
-    let liar = Faults { wrong_version: true, ..Faults::default() };
-    let boaster = Faults { claimed: Some(vec![1, 9]), ..Faults::default() };
+    let wrong_version = Faults { wrong_version: true, ..Faults::default() };
+    let overclaiming = Faults { claimed: Some(vec![1, 9]), ..Faults::default() };
     for (number, (_, searcher)) in cluster.searchers.iter().enumerate() {
         match number % 4 {
-            0 => searcher.set_faults(liar.clone()),
-            1 => searcher.set_faults(boaster.clone()),
+            0 => searcher.set_faults(wrong_version.clone()),
+            1 => searcher.set_faults(overclaiming.clone()),
             _ => {}
         }
     }
     let history = under_load(&cluster, 3 * SECOND, async {}).await;
-    assert_held(&history);
+    assert_invariants(&history);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,7 +118,7 @@
         searcher.set_faults(faults.clone());
     }
     let history = under_load(&cluster, 4 * SECOND, async {}).await;
-    assert_held(&history);
+    assert_invariants(&history);
     let (_, over) = cluster.connections();
     assert_eq!(over, 0, "no connection above a limit");
 }
@@ -123,12 +126,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_without_a_live_shard_says_so() {
     let cluster = start([60, 6]).await;
-    // Both replicas of the first shard of the queue board die.
+    // Kills both replicas of the first shard.
     for searcher in &cluster.searchers_of("queue-board")[..2] {
         searcher.kill();
     }
     let history = under_load(&cluster, 2 * SECOND, async {}).await;
-    assert_held(&history);
+    assert_invariants(&history);
     let board = history.requests.iter().filter(|request| request.service.ends_with("queue-board"));
     for answer in board.filter_map(|request| request.answer.as_ref()) {
         assert_eq!((answer.complete, &*answer.missing), (false, &[0][..]), "{answer:?}");
@@ -143,7 +146,7 @@
         searcher.set_faults(faults.clone());
     }
     let history = under_load(&cluster, 4 * SECOND, async {}).await;
-    assert_held(&history);
+    assert_invariants(&history);
     for ending in [Ending::Complete, Ending::Unknown, Ending::NotRun] {
         assert!(history.count(ending) > 0, "some writes end as {ending:?}");
     }
@@ -152,7 +155,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_who_hangs_up_cancels_the_work_down_to_the_searchers() {
     let cluster = start([60, 8]).await;
-    // Longer than patience, so that only a cancellation ends the work in time.
+    // Searches take longer than the timeout of `until`, so only a cancellation ends them in time.
     let slow = Faults { slow_factor: 100_000.0, ..Faults::default() };
     let board = cluster.searchers_of("queue-board");
     for searcher in &board {
@@ -170,7 +173,7 @@
         client.send(request).await
     });
     until("every shard is being searched", || async { running() >= 20 }).await;
-    // The connection closes with its task.
+    // The connection closes when its task is dropped.
     caller.abort();
     until("no shard is being searched any more", || async { running() == 0 }).await;
 }
--- a/crates/bench/tests/fatal.rs
+++ b/crates/bench/tests/fatal.rs
@@ -1,8 +1,8 @@
-//! A query that ends the searchers that run it, through the own interface.
+//! Guards against a query that crashes every searcher of an index.
 //!
-//! What was seen: all searchers of an index ended, each time the query came again, since a retry,
-//! a hedge or the caller's next attempt took it to the next replica. Cause: what a query had done
-//! to its searchers was forgotten with the attempt, and no other gather heard of it.
+//! Retries, hedges and the caller's own repeats send a fatal query to the next replica. All
+//! searchers of an index crashed when a gather kept no record of the crashes beyond the attempt
+//! and didn't share it with other gathers.
 
 mod support;
 
@@ -16,14 +16,14 @@
 use hyper::Request;
 use support::{start, until};
 
-/// How often the query comes again.
+/// How often the query is sent.
 const REPEATS: usize = 12;
 
-/// How many searchers may end besides the first of each shard.
-const TRIALS: usize = 3;
+/// How many searchers may crash in addition to one per shard.
+const EXTRA_CRASHES: usize = 3;
 
-/// Asks the entry of an instance; returns the status and the body.
-async fn ask(instance: std::net::Ipv4Addr, body: &'static str) -> (u16, String) {
+/// Sends a query to the entry of an instance; returns the status and the body.
+async fn query(instance: std::net::Ipv4Addr, body: &'static str) -> (u16, String) {
     let (local, entry) = (std::net::Ipv4Addr::UNSPECIFIED, (instance, 7400).into());
     let mut client =
         Client::connect(local, entry, Duration::from_secs(1)).await.expect("the entry listens");
@@ -43,24 +43,25 @@
     }
     let instance = |turn: usize| cluster.deployment.instance(turn % 3);
     for turn in 0..REPEATS {
-        ask(instance(turn), r#"{"shape": "top", "k": 7}"#).await;
-        // The time to come back that a refusal names, or longer.
+        query(instance(turn), r#"{"shape": "top", "k": 7}"#).await;
+        // At least the retry-after time of a refusal.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let shards = cluster.deployment.services[0].shards;
     let ended = board.iter().filter(|searcher| searcher.has_ended()).count();
-    assert!(ended <= shards + TRIALS, "{ended} searchers ended");
-    // A trial may have taken the last searcher of its shard, and no other is missing.
-    until("others are answered", || async {
-        let (status, body) = ask(instance(0), r#"{"shape": "scan"}"#).await;
+    assert!(ended <= shards + EXTRA_CRASHES, "{ended} searchers ended");
+    // An extra crash may have hit the last searcher of a shard; no other shard is missing.
+    until("other queries are answered", || async {
+        let (status, body) = query(instance(0), r#"{"shape": "scan"}"#).await;
         let answer: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
         let answered = answer["services"][0]["coverage"]["answered"].as_u64();
-        status == 200 && answered.is_some_and(|answered| answered as usize >= shards - TRIALS)
+        status == 200
+            && answered.is_some_and(|answered| answered as usize >= shards - EXTRA_CRASHES)
     })
     .await;
-    // The harmful one isn't run any more, though searchers are there.
+    // The fatal query is not executed any more, even though searchers are available.
     let before = board.iter().filter(|searcher| searcher.has_ended()).count();
-    let (_, body) = ask(instance(0), r#"{"shape": "top", "k": 7}"#).await;
+    let (_, body) = query(instance(0), r#"{"shape": "top", "k": 7}"#).await;
     let after = board.iter().filter(|searcher| searcher.has_ended()).count();
     assert_eq!(after, before, "{body}");
 }
--- a/crates/bench/tests/filetests.rs
+++ b/crates/bench/tests/filetests.rs
@@ -1,4 +1,4 @@
-//! Histories by hand, each of which breaks one promise, and what the checker says.
+//! Handwritten histories, most of which violate one invariant, with the expected violations.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet under change: leaving searchers, rolling replacement, configuration.
+//! Fleet changes under load: leaving searchers, rolling replacement, configuration.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use bergamot_bench::history::Ending;
 use bergamot_bench::load::Load;
 use bergamot_standin::{Faults, Instance};
-use support::{assert_held, settings, start, start_with, under_load, until};
+use support::{assert_invariants, settings, start, start_with, under_load, until};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -29,28 +29,36 @@
     .await;
 }
 
-/// A service of `queue-board` whose even searchers are leaving gets no new work.
-async fn no_new_work(cluster: &Cluster, mark: impl Future<Output = ()>) {
+/// Asserts that the even searchers of `queue-board` receive no new sub-queries a few seconds
+/// after `mark` has marked them as leaving.
+async fn assert_no_new_work(cluster: &Cluster, mark: impl Future<Output = ()>) {
     let history = under_load(cluster, 6 * SECOND, async {
         tokio::time::sleep(SECOND).await;
         mark.await;
-        // "After a few seconds": the promise that is checked.
+        // The requirement is "after a few seconds".
         tokio::time::sleep(3 * SECOND).await;
         let settled = searches(cluster, "queue-board");
         tokio::time::sleep(SECOND).await;
-        assert_eq!(searches(cluster, "queue-board"), settled, "no new work after a few seconds");
+        assert_eq!(
+            searches(cluster, "queue-board"),
+            settled,
+            "no new sub-queries after a few seconds"
+        );
     })
     .await;
-    assert_held(&history);
-    // A busy machine may make some answers late, and then they say so.
-    assert!(history.count(Ending::Complete) * 2 > history.requests.len(), "others take the work");
+    assert_invariants(&history);
+    // On a busy machine some answers are late, and are then marked as partial.
+    assert!(
+        history.count(Ending::Complete) * 2 > history.requests.len(),
+        "the other replicas answer"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn searchers_that_say_they_leave_get_no_new_work() {
     let cluster = start([61, 1]).await;
     let leaving = Faults { leaving: true, ..Faults::default() };
-    no_new_work(&cluster, async {
+    assert_no_new_work(&cluster, async {
         for searcher in cluster.searchers_of("queue-board").iter().step_by(2) {
             searcher.set_faults(leaving.clone());
         }
@@ -70,10 +78,10 @@
             state: Name::from("leaving"),
         });
     }
-    no_new_work(&cluster, async {
+    assert_no_new_work(&cluster, async {
         cluster.platform.list(fresh);
         tokio::time::sleep(SECOND).await;
-        // The list forgets again: a stale list must not bring them back.
+        // A stale list without the mark must not make them eligible again.
         cluster.platform.list(stale);
     })
     .await;
@@ -93,11 +101,11 @@
             cluster.add(number).await.expect("the addresses are free");
         }
         cluster.platform.list(deployment.list(2 * round + 2..10 + 2 * round));
-        cluster.remove_together(&old).await;
+        cluster.remove_all(&old).await;
     }
     let mut history = load.await.expect("the load ran to its end");
     cluster.collect(&mut history);
-    assert_held(&history);
+    assert_invariants(&history);
     let (_, over) = cluster.connections();
     assert_eq!(over, 0, "no connection above a limit while homes are replaced");
 }
@@ -108,15 +116,15 @@
     let document = |revision| cluster.deployment.document(revision);
     cluster.platform.publish(&document(5));
     all_have(&cluster, 5).await;
-    // The service answers with older values for a while.
+    // The service returns an older document for a while.
     cluster.platform.set_stale(Some(&document(3)));
     tokio::time::sleep(2 * SECOND).await;
     assert!(revisions(&cluster).iter().all(|have| *have == 5), "a stale service changes nothing");
     cluster.platform.set_stale(None);
-    // Two operators race; the later revision wins wherever it arrives first.
+    // Two operators race: the higher revision wins regardless of the order of arrival.
     cluster.platform.publish(&document(8));
-    // The service keeps only what was published last: a revision counts as accepted once
-    // some daemon has seen it, and from then on it must win everywhere.
+    // The service keeps only the last published document, so a revision counts as accepted
+    // once a daemon has read it. From then on it must win everywhere.
     until("some daemon has revision 8", || async { revisions(&cluster).contains(&8) }).await;
     cluster.platform.publish(&document(7));
     all_have(&cluster, 8).await;
@@ -151,7 +159,11 @@
     all_have(&cluster, 6).await;
     cluster.platform.set_stale(Some(&old));
     cluster.add(8).await.expect("the address is free");
-    assert_eq!(revisions(&cluster).iter().min(), Some(&6), "taken from peers before it serves");
+    assert_eq!(
+        revisions(&cluster).iter().min(),
+        Some(&6),
+        "the revision is fetched from peers before the instance serves"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -159,7 +171,7 @@
     let mut cluster = start([61, 7]).await;
     cluster.platform.set_down(true);
     let history = under_load(&cluster, 3 * SECOND, async {}).await;
-    assert_held(&history);
+    assert_invariants(&history);
     cluster.platform.set_down(false);
     cluster.platform.publish(&cluster.deployment.document(2));
     all_have(&cluster, 2).await;
@@ -190,10 +202,10 @@
     };
     let before = hashes(&cluster);
     cluster.platform.publish(&first.replace("\"deadline_ms\":150", "\"deadline_ms\":151"));
-    until("some daemon has noticed", || async {
+    until("a daemon has counted a clash", || async {
         let mut nodes = cluster.instances.values().map(|instance| instance.entry.node());
         nodes.any(|node| node.meter().clashes.get() > 0)
     })
     .await;
-    assert_eq!(hashes(&cluster), before, "what is in force stays");
+    assert_eq!(hashes(&cluster), before, "the document in force stays");
 }
--- a/crates/bench/tests/start.rs
+++ b/crates/bench/tests/start.rs
@@ -1,4 +1,4 @@
-//! Starts of clusters beside whatever else the machine does.
+//! Cluster start on a busy machine.
 
 mod support;
 
@@ -10,45 +10,49 @@
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::descriptors::Descriptors;
 use bergamot_standin::Faults;
-use support::{SEED, settings, under_load, warm};
+use support::{SEED, settings, under_load, wait_until_warm};
 
-/// Requests of the first load are cut by searchers that a busy machine could not serve in time;
-/// their writes stay unknown for good, and nothing else may wait for them.
+/// Guards against a warm-up that never completes: on a busy machine, the first writes may be
+/// cut off by searchers and stay unknown for good. The warm-up must not depend on their keys.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cluster_whose_first_writes_ended_unknown_becomes_whole() {
     let deployment = Deployment::fraser_basin([62, 1], SEED);
-    let cluster = Cluster::start(deployment, settings()).await.expect("the block is its own");
+    let cluster = Cluster::start(deployment, settings())
+        .await
+        .expect("the address block is reserved for this test");
     let cut = Faults { cut_writes: 1.0, ..Faults::default() };
     for searcher in cluster.searchers_of("glycol-ledger") {
         searcher.set_faults(cut.clone());
     }
     let first = under_load(&cluster, Duration::from_millis(200), async {}).await;
-    assert!(first.requests.iter().any(|request| request.key.is_some()), "something was written");
+    assert!(first.requests.iter().any(|request| request.key.is_some()), "a write was sent");
     for searcher in cluster.searchers_of("glycol-ledger") {
         searcher.set_faults(Faults::default());
     }
-    warm(&cluster).await;
+    wait_until_warm(&cluster).await;
 }
 
-/// Nine tests start a cluster each where the process may have 20,000 descriptors; one takes
-/// 8,060 if its searchers hold all the connections that they accept.
+/// Guards against running out of descriptors when tests start clusters concurrently. Nine
+/// clusters share 20,000 descriptors; each needs 8,060 if its searchers hold all the
+/// connections that they accept.
 #[tokio::test]
 async fn clusters_wait_for_the_descriptors_that_they_may_need() {
     let descriptors = Descriptors::new(20_000);
     let wanted = Deployment::fraser_basin([62, 2], SEED).descriptors();
-    let (held, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+    let (in_use, peak) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let clusters = (0..9).map(|_| {
-        let (descriptors, held, most) = (descriptors.clone(), Arc::clone(&held), Arc::clone(&most));
+        let (descriptors, in_use, peak) =
+            (descriptors.clone(), Arc::clone(&in_use), Arc::clone(&peak));
         tokio::spawn(async move {
-            let _taken = descriptors.take(wanted).await;
-            most.fetch_max(held.fetch_add(wanted, Ordering::Relaxed) + wanted, Ordering::Relaxed);
+            let _permit = descriptors.acquire(wanted).await;
+            peak.fetch_max(in_use.fetch_add(wanted, Ordering::Relaxed) + wanted, Ordering::Relaxed);
             tokio::task::yield_now().await;
-            held.fetch_sub(wanted, Ordering::Relaxed);
+            in_use.fetch_sub(wanted, Ordering::Relaxed);
         })
     });
     futures::future::join_all(clusters).await;
-    let most = most.load(Ordering::Relaxed);
-    assert!(most >= 2 * wanted, "clusters run side by side: {most}");
-    assert!(most < 20_000, "no more than there are: {most}");
-    assert_eq!(descriptors.free(), 19_500, "what was taken is given back");
+    let peak = peak.load(Ordering::Relaxed);
+    assert!(peak >= 2 * wanted, "clusters run concurrently: {peak}");
+    assert!(peak < 20_000, "the limit is not exceeded: {peak}");
+    assert_eq!(descriptors.available(), 19_500, "all descriptors are released");
 }
--- a/crates/bench/tests/support/mod.rs
+++ b/crates/bench/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster in this process under load, with faults, and the check of its history.
+//! Runs a cluster in this process under load with faults, and checks its history.
 
 #![allow(dead_code, reason = "each test file uses a part of the support")]
 
@@ -14,13 +14,13 @@
 pub use bergamot_bench::wait::until;
 use bergamot_config::Settings;
 
-/// The seed of all tests, so that a failure can be repeated.
+/// The seed of all tests, so that a failure can be reproduced.
 pub const SEED: Seed = Seed(7);
 
-/// The time of the load that tells whether everything is connected.
-const SHORT: Duration = Duration::from_millis(200);
+/// The duration of the load that tests whether everything is connected.
+const WARM_UP_LOAD: Duration = Duration::from_millis(200);
 
-/// Settings that let tests be short: everything periodic happens more often.
+/// Returns settings with short periods, so that tests are short.
 pub fn settings() -> Settings {
     let mut settings = Settings::default();
     settings.control.probe = Duration::from_millis(100);
@@ -33,35 +33,37 @@
     settings
 }
 
-/// Starts Fraser Basin at its size and waits until every searcher is connected.
+/// Starts Fraser Basin at full size and waits until every searcher is connected.
 pub async fn start(block: [u8; 2]) -> Cluster {
     start_with(block, settings()).await
 }
 
-/// Starts Fraser Basin with settings of one's own.
+/// Like [`start`], with the given settings.
 pub async fn start_with(block: [u8; 2], settings: Settings) -> Cluster {
     let deployment = Deployment::fraser_basin(block, SEED);
-    let cluster = Cluster::start(deployment, settings).await.expect("the block is this test's own");
-    warm(&cluster).await;
+    let cluster = Cluster::start(deployment, settings)
+        .await
+        .expect("the address block is reserved for this test");
+    wait_until_warm(&cluster).await;
     cluster
 }
 
-/// Waits until a short load is complete.
+/// Sends short loads until one of them is complete.
 ///
-/// Each has a seed of its own: the write keys follow from the seed, and a key whose outcome is
-/// unknown stays so, however often it is asked for.
-pub async fn warm(cluster: &Cluster) {
+/// Each load has another seed: idempotency keys are derived from the seed, and a key with an
+/// unknown outcome stays unknown however often its write is repeated.
+pub async fn wait_until_warm(cluster: &Cluster) {
     let seeds = AtomicU64::new(SEED.0 + 1);
     until("a short load is complete", || async {
         let seed = Seed(seeds.fetch_add(1, Ordering::Relaxed));
-        let load = Load { seed, ..Load::of(&cluster.deployment, SHORT) };
+        let load = Load { seed, ..Load::of(&cluster.deployment, WARM_UP_LOAD) };
         let history = load::run(&cluster.deployment, load).await;
         !history.requests.is_empty() && history.count(Ending::Complete) == history.requests.len()
     })
     .await;
 }
 
-/// Runs load beside a script of faults and returns the history with the effects.
+/// Runs load concurrently with a script of faults; returns the history with the effects.
 pub async fn under_load(
     cluster: &Cluster,
     time: Duration,
@@ -73,21 +75,21 @@
     history
 }
 
-/// Asserts that every promise held, and that the load was not just refused.
-pub fn assert_held(history: &History) {
-    assert_held_but(history, |_| false);
+/// Asserts that no invariant was violated and that some requests were complete.
+pub fn assert_invariants(history: &History) {
+    assert_invariants_except(history, |_| false);
 }
 
-/// Asserts that every promise held but for violations that are expected.
-pub fn assert_held_but(history: &History, expected: impl Fn(&Violation) -> bool) {
+/// Like [`assert_invariants`], ignoring expected violations.
+pub fn assert_invariants_except(history: &History, expected: impl Fn(&Violation) -> bool) {
     let violations: Vec<_> = check(history).into_iter().filter(|v| !expected(v)).collect();
     let lines: Vec<_> = violations.iter().map(ToString::to_string).collect();
     assert!(lines.is_empty(), "seed {SEED:?}:\n{}", lines.join("\n"));
     let complete = history.count(Ending::Complete);
-    assert!(complete > 0, "something was answered");
+    assert!(complete > 0, "a request was complete");
 }
 
-/// Tells whether a violation is a request that was lost.
+/// Returns whether a violation is a lost request.
 pub fn is_loss(violation: &Violation) -> bool {
     violation.promise == Promise::NoLoss
 }
