--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -14,7 +14,7 @@
 
 /// The invariants that a history can violate, in the order of the requirements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Promise {
+pub enum Invariant {
     /// Every answer reflects one snapshot.
     Snapshot,
     /// Every answer states its coverage correctly.
@@ -29,7 +29,7 @@
     NoLoss,
 }
 
-impl fmt::Display for Promise {
+impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Snapshot => "snapshot",
@@ -46,14 +46,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The invariant.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// The request or idempotency key, and how it violates the invariant.
     pub detail: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.detail)
+        write!(f, "{}: {}", self.invariant, self.detail)
     }
 }
 
@@ -61,9 +61,9 @@
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (number, request) in history.requests.iter().enumerate() {
-        let mut report = |promise, detail: String| {
+        let mut report = |invariant, detail: String| {
             let detail = format!("request {number} ({}) {detail}", request.service);
-            violations.push(Violation { promise, detail });
+            violations.push(Violation { invariant, detail });
         };
         check_request(request, &mut report);
     }
@@ -71,16 +71,16 @@
     violations
 }
 
-fn check_request(request: &Request, report: &mut impl FnMut(Promise, String)) {
+fn check_request(request: &Request, report: &mut impl FnMut(Invariant, String)) {
     if request.ending == Ending::Lost {
-        report(Promise::NoLoss, format!("got no final answer from {}", request.entry));
+        report(Invariant::NoLoss, format!("got no final answer from {}", request.entry));
     }
     let Some(answer) = &request.answer else {
         return;
     };
     let stamp = format!("v{}e{}", answer.version, answer.epoch);
     for found in answer.stamps.iter().filter(|found| ***found != *stamp) {
-        report(Promise::Snapshot, format!("states {stamp} but contains hits of {found}"));
+        report(Invariant::Snapshot, format!("states {stamp} but contains hits of {found}"));
     }
     if answer.complete != (answer.missing.is_empty() && answer.answered == answer.asked) {
         let marked = if answer.complete { "complete" } else { "partial" };
@@ -88,23 +88,23 @@
         let detail = format!(
             "is marked {marked} with {answered} of {asked} shards answered and {missing} listed as missing"
         );
-        report(Promise::Coverage, detail);
+        report(Invariant::Coverage, detail);
     }
     if answer.answered + answer.missing.len() != answer.asked {
-        report(Promise::Coverage, "does not list every missing shard".to_owned());
+        report(Invariant::Coverage, "does not list every missing shard".to_owned());
     }
     if answer.complete && answer.hits < answer.expected {
         let (hits, expected) = (answer.hits, answer.expected);
-        report(Promise::Coverage, format!("is marked complete with {hits} of {expected} hits"));
+        report(Invariant::Coverage, format!("is marked complete with {hits} of {expected} hits"));
     }
     if (request.ending == Ending::Complete) != answer.complete {
         let marked = if answer.complete { "complete" } else { "partial" };
         let detail = format!("is marked {marked} but was recorded as {:?}", request.ending);
-        report(Promise::Coverage, detail);
+        report(Invariant::Coverage, detail);
     }
     if answer.foreign || answer.hits > answer.expected {
         report(
-            Promise::OwnAnswer,
+            Invariant::OwnAnswer,
             "contains documents that were not requested, or duplicates".to_owned(),
         );
     }
@@ -130,26 +130,26 @@
     for (key, count) in &effects {
         if *count > 1 {
             let detail = format!("key {key} took effect {count} times");
-            violations.push(Violation { promise: Promise::AtMostOnce, detail });
+            violations.push(Violation { invariant: Invariant::AtMostOnce, detail });
         }
     }
     for (key, endings) in reported {
         let count = effects.get(key).copied().unwrap_or(0);
         if endings.contains(&Ending::Complete) && count == 0 {
             let detail = format!("key {key} was reported as done but had no effect");
-            violations.push(Violation { promise: Promise::AtMostOnce, detail });
+            violations.push(Violation { invariant: Invariant::AtMostOnce, detail });
         }
         // A key may be retried after "not run", so only the last outcome counts.
         if endings.last() == Some(&Ending::NotRun) && count > 0 {
             let detail = format!("key {key} was reported as not executed but took effect");
-            violations.push(Violation { promise: Promise::NotRun, detail });
+            violations.push(Violation { invariant: Invariant::NotRun, detail });
         }
     }
-    violations.sort_by(|a, b| (a.promise, &a.detail).cmp(&(b.promise, &b.detail)));
+    violations.sort_by(|a, b| (a.invariant, &a.detail).cmp(&(b.invariant, &b.detail)));
     violations
 }
 
 /// Counts the violations of an invariant.
-pub fn count(violations: &[Violation], promise: Promise) -> usize {
-    violations.iter().filter(|violation| violation.promise == promise).count()
+pub fn count(violations: &[Violation], invariant: Invariant) -> usize {
+    violations.iter().filter(|violation| violation.invariant == invariant).count()
 }
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -6,7 +6,7 @@
 use bergamot_config::Settings;
 use bergamot_net::Fault;
 
-use crate::check::{Promise, check, count};
+use crate::check::{Invariant, check, count};
 use crate::cluster::Cluster;
 use crate::deployment::Deployment;
 use crate::history::{Ending, History};
@@ -87,9 +87,9 @@
     for violation in &violations {
         println!("violation {violation}");
     }
-    let lost = count(&violations, Promise::NoLoss);
-    let doubled = count(&violations, Promise::AtMostOnce);
-    let mixed = count(&violations, Promise::Snapshot);
+    let lost = count(&violations, Invariant::NoLoss);
+    let doubled = count(&violations, Invariant::AtMostOnce);
+    let mixed = count(&violations, Invariant::Snapshot);
     let other = violations.len() - lost - doubled - mixed;
     Summary { history, lost, doubled, mixed, other }
 }
--- a/crates/bench/src/wait.rs
+++ b/crates/bench/src/wait.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// The timeout of [`until`].
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The time between two evaluations of the condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -12,14 +12,14 @@
 ///
 /// # Panics
 ///
-/// Panics, naming `what`, if the condition does not hold within [`PATIENCE`].
+/// Panics, naming `what`, if the condition does not hold within [`WAIT_TIMEOUT`].
 pub async fn until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         if condition().await {
             return;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("timed out after {PATIENCE:?} waiting until {what}");
+    panic!("timed out after {WAIT_TIMEOUT:?} waiting until {what}");
 }
--- a/crates/bench/tests/support/mod.rs
+++ b/crates/bench/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bergamot_base::Seed;
-use bergamot_bench::check::{Promise, Violation, check};
+use bergamot_bench::check::{Invariant, Violation, check};
 use bergamot_bench::cluster::Cluster;
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::history::{Ending, History};
@@ -91,5 +91,5 @@
 
 /// Returns whether a violation is a lost request.
 pub fn is_loss(violation: &Violation) -> bool {
-    violation.promise == Promise::NoLoss
+    violation.invariant == Invariant::NoLoss
 }
--- a/daemons/tests/faults.rs
+++ b/daemons/tests/faults.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bergamot_base::{Name, Seed};
-use bergamot_bench::check::{Promise, check};
+use bergamot_bench::check::{Invariant, check};
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::history::{Ending, History};
 use bergamot_bench::load::{self, Load};
@@ -61,7 +61,7 @@
     let died_with = |detail: &str| dead.is_some_and(|entry| detail.ends_with(&entry.to_string()));
     let violations: Vec<_> = check(history)
         .into_iter()
-        .filter(|v| !(v.promise == Promise::NoLoss && died_with(&v.detail)))
+        .filter(|v| !(v.invariant == Invariant::NoLoss && died_with(&v.detail)))
         .map(|violation| violation.to_string())
         .collect();
     assert!(violations.is_empty(), "{SEED:?}:\n{}", violations.join("\n"));
--- a/daemons/tests/support/mod.rs
+++ b/daemons/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use bergamot_bench::cluster::Cluster;
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::stand_ins;
-pub use bergamot_bench::wait::{PATIENCE, until};
+pub use bergamot_bench::wait::{WAIT_TIMEOUT, until};
 use bergamot_config::Settings;
 use bergamot_net::{Client, Reply, fetch};
 use bytes::Bytes;
@@ -51,7 +51,7 @@
 
     /// Waits for the exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.0.try_wait().expect("the child is ours") {
                 return status.code();
@@ -161,7 +161,7 @@
 /// Waits until an entry answers.
 pub async fn serves(entry: SocketAddr) {
     until("the entry serves", || async move {
-        fetch(Ipv4Addr::UNSPECIFIED, entry, "/v1/addresses", PATIENCE).await.is_ok()
+        fetch(Ipv4Addr::UNSPECIFIED, entry, "/v1/addresses", WAIT_TIMEOUT).await.is_ok()
     })
     .await;
 }
@@ -185,15 +185,16 @@
 
 /// Sends a request over a connection of its own.
 pub async fn send(entry: SocketAddr, request: Request<Full<Bytes>>) -> Reply {
-    let mut client =
-        Client::connect(Ipv4Addr::UNSPECIFIED, entry, PATIENCE).await.expect("the entry listens");
+    let mut client = Client::connect(Ipv4Addr::UNSPECIFIED, entry, WAIT_TIMEOUT)
+        .await
+        .expect("the entry listens");
     client.send(request).await.expect("the entry answers")
 }
 
 /// Gets a path as text.
 pub async fn get(daemon: SocketAddr, path: &str) -> String {
     let reply =
-        fetch(Ipv4Addr::UNSPECIFIED, daemon, path, PATIENCE).await.expect("the daemon answers");
+        fetch(Ipv4Addr::UNSPECIFIED, daemon, path, WAIT_TIMEOUT).await.expect("the daemon answers");
     String::from_utf8_lossy(reply.body()).into_owned()
 }
 
