--- a/daemons/tests/faults.rs
+++ b/daemons/tests/faults.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bergamot_base::{Name, Seed};
-use bergamot_bench::check::{Promise, check};
+use bergamot_bench::check::{Invariant, check};
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::history::{Ending, History};
 use bergamot_bench::load::{self, Load};
@@ -68,7 +68,7 @@
         |detail: &str| dead.is_some_and(|entry| detail.ends_with(&entry.to_string()));
     let violations: Vec<_> = check(history)
         .into_iter()
-        .filter(|v| !(v.promise == Promise::NoLoss && lost_at_dead_entry(&v.detail)))
+        .filter(|v| !(v.invariant == Invariant::NoLoss && lost_at_dead_entry(&v.detail)))
         .map(|violation| violation.to_string())
         .collect();
     assert!(violations.is_empty(), "{SEED:?}:\n{}", violations.join("\n"));
--- a/daemons/tests/support/mod.rs
+++ b/daemons/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use bergamot_bench::cluster::Cluster;
 use bergamot_bench::deployment::Deployment;
 use bergamot_bench::stand_ins;
-pub use bergamot_bench::wait::{PATIENCE, until};
+pub use bergamot_bench::wait::{WAIT_TIMEOUT, until};
 use bergamot_config::Settings;
 use bergamot_net::{Client, Reply, fetch};
 use bytes::Bytes;
@@ -52,7 +52,7 @@
     /// Waits for the process to exit and returns its exit code, or `None` on timeout or if a
     /// signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
             if let Some(status) = self.0.try_wait().expect("the process is a child of this one") {
                 return status.code();
@@ -171,7 +171,7 @@
 /// Waits until an entry answers.
 pub async fn wait_until_serving(entry: SocketAddr) {
     until("the entry serves", || async move {
-        fetch(Ipv4Addr::UNSPECIFIED, entry, "/v1/addresses", PATIENCE).await.is_ok()
+        fetch(Ipv4Addr::UNSPECIFIED, entry, "/v1/addresses", WAIT_TIMEOUT).await.is_ok()
     })
     .await;
 }
@@ -195,15 +195,16 @@
 
 /// Sends a request over a new connection.
 pub async fn send(entry: SocketAddr, request: Request<Full<Bytes>>) -> Reply {
-    let mut client =
-        Client::connect(Ipv4Addr::UNSPECIFIED, entry, PATIENCE).await.expect("the entry listens");
+    let mut client = Client::connect(Ipv4Addr::UNSPECIFIED, entry, WAIT_TIMEOUT)
+        .await
+        .expect("the entry listens");
     client.send(request).await.expect("the entry answers")
 }
 
 /// Fetches a path and returns the body as text.
 pub async fn get(daemon: SocketAddr, path: &str) -> String {
     let reply =
-        fetch(Ipv4Addr::UNSPECIFIED, daemon, path, PATIENCE).await.expect("the daemon answers");
+        fetch(Ipv4Addr::UNSPECIFIED, daemon, path, WAIT_TIMEOUT).await.expect("the daemon answers");
     String::from_utf8_lossy(reply.body()).into_owned()
 }
 
