--- a/crates/bench/tests/answers.rs
+++ b/crates/bench/tests/answers.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_rolls_out_during_queries_and_never_mixes() {
+async fn a_version_rollout_during_queries_does_not_mix_versions() {
     let cluster = start([60, 1]).await;
     let history = under_load(&cluster, 5 * SECOND, async {
         for (_, searcher) in &cluster.searchers {
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_that_is_gone_ends_in_a_fresh_plan_or_a_truthful_part() {
+async fn queries_recover_after_the_active_version_is_removed() {
     let cluster = start([60, 2]).await;
     let history = under_load(&cluster, 3 * SECOND, async {
         tokio::time::sleep(SECOND).await;
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repartitioning_during_queries_never_mixes_epochs() {
+async fn repartitioning_during_queries_does_not_mix_epochs() {
     let cluster = start([60, 3]).await;
     let spec = cluster.deployment.services[0].clone();
     let history = under_load(&cluster, 4 * SECOND, async {
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn replicas_that_lie_about_their_version_are_never_merged() {
+async fn invariants_hold_with_replicas_that_report_a_wrong_version() {
     let cluster = start([60, 4]).await;
     let wrong_version = Faults { wrong_version: true, ..Faults::default() };
     let overclaiming = Faults { claimed: Some(vec![1, 9]), ..Faults::default() };
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_and_shed_replies_never_cross_or_pass_for_whole() {
+async fn invariants_hold_with_truncated_shed_and_slow_replies() {
     let cluster = start([60, 5]).await;
     let faults =
         Faults { cut: 0.1, shed: 0.1, straggle: 0.1, straggle_factor: 30.0, ..Faults::default() };
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_without_a_live_shard_says_so() {
+async fn a_shard_without_live_replicas_is_reported_missing() {
     let cluster = start([60, 6]).await;
     // Kills both replicas of the first shard.
     for searcher in &cluster.searchers_of("queue-board")[..2] {
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn writes_in_doubt_are_unknown_and_take_effect_at_most_once() {
+async fn interrupted_writes_end_as_unknown_and_run_at_most_once() {
     let cluster = start([60, 7]).await;
     let faults = Faults { cut_writes: 0.3, shed: 0.2, ..Faults::default() };
     for searcher in cluster.searchers_of("glycol-ledger") {
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_hangs_up_cancels_the_work_down_to_the_searchers() {
+async fn a_caller_disconnect_cancels_the_requests_to_searchers() {
     let cluster = start([60, 8]).await;
     // Searches take longer than the timeout of `until`, so only a cancellation ends them in time.
     let slow = Faults { slow_factor: 100_000.0, ..Faults::default() };
--- a/crates/bench/tests/fatal.rs
+++ b/crates/bench/tests/fatal.rs
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fatal_query_ends_one_searcher_a_shard_and_three_at_most() {
+async fn a_fatal_query_crashes_at_most_one_searcher_per_shard_plus_three() {
     let cluster = start([60, 9]).await;
     let board = cluster.searchers_of("queue-board");
     for searcher in &board {
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -33,7 +33,7 @@
 
 /// Asserts that the even searchers of `queue-board` receive no new sub-queries a few seconds
 /// after `mark` has marked them as leaving.
-async fn assert_no_new_work(cluster: &Cluster, mark: impl Future<Output = ()>) {
+async fn assert_no_new_requests(cluster: &Cluster, mark: impl Future<Output = ()>) {
     let history = under_load(cluster, 6 * SECOND, async {
         tokio::time::sleep(SECOND).await;
         mark.await;
@@ -57,10 +57,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn searchers_that_say_they_leave_get_no_new_work() {
+async fn searchers_that_report_leaving_receive_no_new_requests() {
     let cluster = start([61, 1]).await;
     let leaving = Faults { leaving: true, ..Faults::default() };
-    assert_no_new_work(&cluster, async {
+    assert_no_new_requests(&cluster, async {
         for searcher in cluster.searchers_of("queue-board").iter().step_by(2) {
             searcher.set_faults(leaving.clone());
         }
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn searchers_that_the_list_says_leave_get_no_new_work_even_when_the_list_goes_stale() {
+async fn searchers_listed_as_leaving_receive_no_new_requests_after_a_stale_list() {
     let cluster = start([61, 2]).await;
     let stale = cluster.deployment.list(0..8);
     let mut fresh = stale.clone();
@@ -80,7 +80,7 @@
             state: Name::from("leaving"),
         });
     }
-    assert_no_new_work(&cluster, async {
+    assert_no_new_requests(&cluster, async {
         cluster.platform.set_instances(fresh);
         tokio::time::sleep(SECOND).await;
         // A stale list without the mark must not make them eligible again.
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_whole_fleet_is_replaced_two_at_a_time_and_nothing_is_cut() {
+async fn a_rolling_replacement_of_the_fleet_interrupts_no_request() {
     let mut cluster = start([61, 3]).await;
     let deployment = cluster.deployment.clone();
     let loaded = deployment.clone();
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_document_is_in_force_everywhere_and_never_reverts() {
+async fn an_accepted_document_is_active_on_all_instances_and_does_not_revert() {
     let cluster = start([61, 4]).await;
     let document = |revision| cluster.deployment.document(revision);
     cluster.platform.publish(&document(5));
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_faulty_document_is_refused_whole_and_the_one_in_force_stays() {
+async fn an_invalid_document_is_rejected_and_the_active_one_is_kept() {
     let cluster = start([61, 5]).await;
     let good = cluster.deployment.document(2);
     let cut = &good[..good.len() / 2];
@@ -147,14 +147,14 @@
     for faulty in [cut, &wrong] {
         cluster.platform.publish(faulty);
         tokio::time::sleep(2 * SECOND).await;
-        assert!(revisions(&cluster).iter().all(|have| *have == 1), "revision 1 stays in force");
+        assert!(revisions(&cluster).iter().all(|have| *have == 1), "revision 1 stays active");
     }
     cluster.platform.publish(&cluster.deployment.document(5));
     all_have(&cluster, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_started_instance_beside_a_stale_service_serves_what_the_fleet_has() {
+async fn a_new_instance_fetches_the_revision_from_peers_if_the_service_is_stale() {
     let mut cluster = start([61, 6]).await;
     let (old, new) = (cluster.deployment.document(1), cluster.deployment.document(6));
     cluster.platform.publish(&new);
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reads_of_the_configuration_service_come_from_a_few_readers() {
+async fn only_a_few_readers_query_the_configuration_service() {
     let cluster = start_with([61, 8], settings()).await;
     let before = cluster.platform.counts().document;
     cluster.platform.publish(&cluster.deployment.document(2));
@@ -193,7 +193,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_documents_of_one_revision_raise_an_alarm_and_change_nothing() {
+async fn conflicting_documents_of_one_revision_are_counted_and_not_applied() {
     let cluster = start([61, 9]).await;
     let first = cluster.deployment.document(3);
     cluster.platform.publish(&first);
@@ -209,5 +209,5 @@
         nodes.any(|node| node.metrics().clashes.get() > 0)
     })
     .await;
-    assert_eq!(hashes(&cluster), before, "the document in force stays");
+    assert_eq!(hashes(&cluster), before, "the active document changed");
 }
--- a/crates/bench/tests/start.rs
+++ b/crates/bench/tests/start.rs
@@ -15,7 +15,7 @@
 /// Guards against a warm-up that never completes: on a busy machine, the first writes may be
 /// cut off by searchers and stay unknown for good. The warm-up must not depend on their keys.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cluster_whose_first_writes_ended_unknown_becomes_whole() {
+async fn warm_up_completes_after_writes_with_unknown_outcome() {
     let deployment = Deployment::fraser_basin([62, 1], SEED);
     let cluster = Cluster::start(deployment, settings())
         .await
@@ -36,7 +36,7 @@
 /// clusters share 20,000 descriptors; each needs 8,060 if its searchers hold all the
 /// connections that they accept.
 #[tokio::test]
-async fn clusters_wait_for_the_descriptors_that_they_may_need() {
+async fn concurrent_clusters_stay_within_the_descriptor_limit() {
     let descriptors = Descriptors::new(20_000);
     let wanted = Deployment::fraser_basin([62, 2], SEED).descriptors();
     let (in_use, peak) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
--- a/crates/bench/tests/storm.rs
+++ b/crates/bench/tests/storm.rs
@@ -7,7 +7,7 @@
 use support::{SEED, assert_invariants, settings};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn pairs_of_faults_break_no_promise() {
+async fn invariants_hold_under_pairs_of_faults() {
     let mut storm = Storm::start(SEED, [62, 1], settings())
         .await
         .expect("the address block is reserved for this test");
--- a/crates/feed/tests/batches.rs
+++ b/crates/feed/tests/batches.rs
@@ -74,11 +74,11 @@
     }
 
     fn after(&self, position: Position, scope: Scope) -> Vec<Record> {
-        let told = |record: &&Record| {
+        let is_visible = |record: &&Record| {
             let declaration = record.key == name(DECLARATION);
             record.position > position && (scope == Scope::All || !declaration)
         };
-        self.records.iter().filter(told).cloned().collect()
+        self.records.iter().filter(is_visible).cloned().collect()
     }
 
     fn newest(&self, key: &str) -> Option<Record> {
@@ -202,7 +202,7 @@
 
     /// Guards against losing chunks of the newest version while earlier versions are processed.
     #[test]
-    fn the_newest_of_what_was_read_is_handed_on_at_once(batches in batches()) {
+    fn the_newest_record_of_each_key_is_delivered_without_a_fetch(batches in batches()) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
--- a/crates/feed/tests/chunks.rs
+++ b/crates/feed/tests/chunks.rs
@@ -11,7 +11,7 @@
     Position::from(revision).into()
 }
 
-fn cut(chunks: &mut Chunks, revision: u64, value: &[u8]) -> Manifest {
+fn split(chunks: &mut Chunks, revision: u64, value: &[u8]) -> Manifest {
     match chunks.split(&Name::from("key"), rank(revision), value.to_vec()) {
         Value::Chunked(manifest) => manifest,
         other => panic!("expected a chunked value, got {other:?}"),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn small_values_travel_with_news() {
+fn small_values_are_sent_inline() {
     let value = Chunks::default().split(&Name::from("key"), rank(1), vec![1; 200]);
     assert_eq!(value, Value::Inline(vec![1; 200]));
 }
@@ -37,14 +37,14 @@
 /// The next version of a declaration changes a route, or inserts one in the middle. A member with
 /// the previous version fetches some kilobytes instead of half a megabyte.
 #[test]
-fn a_changed_route_costs_a_few_chunks() {
+fn a_changed_route_transfers_only_a_few_chunks() {
     let (mut reader, mut follower) = (Chunks::default(), Chunks::default());
     let before = declaration(2850, None);
-    cut(&mut follower, 1, &before);
+    split(&mut follower, 1, &before);
     let inserted =
         [&before[..before.len() / 2], &declaration(1, None), &before[before.len() / 2..]];
     for (revision, after) in [(2, declaration(2850, Some(1200))), (3, inserted.concat())] {
-        let manifest = cut(&mut reader, revision, &after);
+        let manifest = split(&mut reader, revision, &after);
         let missing = follower.missing(&manifest);
         let bytes: usize = reader.select(&missing, usize::MAX).iter().map(Vec::len).sum();
         assert!(bytes < 40 << 10, "fetched {bytes} of {} bytes", after.len());
@@ -56,30 +56,30 @@
 fn chunks_of_old_versions_are_dropped() {
     let mut chunks = Chunks::default();
     let versions: Vec<Manifest> =
-        (1..4).map(|byte| cut(&mut chunks, byte.into(), &vec![byte; 100 << 10])).collect();
-    let held: Vec<bool> =
+        (1..4).map(|byte| split(&mut chunks, byte.into(), &vec![byte; 100 << 10])).collect();
+    let stored: Vec<bool> =
         versions.iter().map(|manifest| chunks.assemble(manifest).is_some()).collect();
-    assert_eq!(held, [false, true, true]);
+    assert_eq!(stored, [false, true, true]);
 }
 
 /// Guards against dropping the chunks of a newer version in favour of an older one that arrives
 /// later.
 #[test]
-fn an_older_version_takes_no_place_of_a_newer_one() {
+fn an_older_version_does_not_evict_chunks_of_a_newer_one() {
     let (mut chunks, key) = (Chunks::default(), Name::from("key"));
     let versions: Vec<Manifest> =
-        (1..6).map(|byte| cut(&mut chunks, byte.into(), &vec![byte; 100 << 10])).collect();
+        (1..6).map(|byte| split(&mut chunks, byte.into(), &vec![byte; 100 << 10])).collect();
     for (revision, manifest) in (1_u64..).zip(&versions) {
         chunks.register(&key, rank(revision), manifest);
     }
     assert!(chunks.assemble(&versions[4]).is_some());
-    cut(&mut chunks, 3, &vec![3; 100 << 10]);
+    split(&mut chunks, 3, &vec![3; 100 << 10]);
     assert!(chunks.assemble(&versions[4]).is_some());
     assert!(chunks.size() <= 200 << 10, "{} bytes are stored", chunks.size());
 }
 
 #[test]
-fn chunks_that_nobody_named_are_not_held() {
+fn chunks_without_a_manifest_are_not_stored() {
     let mut chunks = Chunks::default();
     assert!(!chunks.insert(&[7; 100]));
     assert!(chunks.select(&[hash_bytes(&[7; 100])], usize::MAX).is_empty());
@@ -87,9 +87,9 @@
 
 /// A manifest whose chunks are all present but whose hash does not match is rejected.
 #[test]
-fn a_value_of_another_hash_is_refused() {
+fn a_value_with_a_hash_mismatch_is_rejected() {
     let mut chunks = Chunks::default();
-    let manifest = cut(&mut chunks, 1, &declaration(900, None));
+    let manifest = split(&mut chunks, 1, &declaration(900, None));
     assert!(chunks.assemble(&manifest).is_some());
     let other = Manifest { hash: manifest.hash ^ 1, ..manifest };
     assert!(chunks.assemble(&other).is_none());
@@ -98,19 +98,19 @@
 /// In a region of any size, each member queries one that is closer to the reader, no member has
 /// more than two children, and the path to the reader is short.
 #[test]
-fn no_member_is_the_parent_of_many() {
+fn fanout_and_depth_of_the_fetch_tree_are_bounded() {
     for members in [1, 2, 25, 450_usize] {
-        let mut asked_by = HashMap::<usize, usize>::new();
+        let mut children_of = HashMap::<usize, usize>::new();
         for member in 0..members {
             let ancestors: Vec<usize> = ancestors(member).collect();
             assert!(ancestors.iter().all(|ancestor| *ancestor < member), "{ancestors:?}");
             assert_eq!(ancestors.last().copied(), (member > 0).then_some(0));
             assert!(ancestors.len() <= 8, "{ancestors:?}");
             if let Some(parent) = ancestors.first() {
-                *asked_by.entry(*parent).or_default() += 1;
+                *children_of.entry(*parent).or_default() += 1;
             }
         }
-        assert!(asked_by.values().all(|children| *children <= FANOUT));
+        assert!(children_of.values().all(|children| *children <= FANOUT));
     }
 }
 
@@ -119,7 +119,7 @@
 
     /// A member that fetches its missing chunks a few at a time ends up with the value.
     #[test]
-    fn a_value_comes_in_whole(
+    fn a_value_is_assembled_completely(
         bytes in prop::collection::vec(any::<u8>(), 9_000..60_000),
         at in any::<prop::sample::Index>(),
     ) {
@@ -127,7 +127,7 @@
         let mut changed = bytes.clone();
         changed.insert(at.index(bytes.len()), 0);
         for (revision, value) in [(1_u64, bytes), (2, changed)] {
-            let manifest = cut(&mut reader, revision, &value);
+            let manifest = split(&mut reader, revision, &value);
             follower.register(&Name::from("key"), rank(revision), &manifest);
             while follower.assemble(&manifest).is_none() {
                 let bodies = reader.select(&follower.missing(&manifest), 1);
--- a/crates/feed/tests/converge.rs
+++ b/crates/feed/tests/converge.rs
@@ -27,13 +27,13 @@
     Item { value: Value::Deleted, ..item(key, 0, position) }
 }
 
-fn ask(mirror: &Mirror, after: Position) -> News {
+fn query(mirror: &Mirror, after: Position) -> News {
     let query = NewsQuery { after, ..NewsQuery::default() };
     mirror.news(&query, usize::MAX, Instant::now())
 }
 
 #[test]
-fn a_listing_of_a_later_era_takes_the_place_of_what_is_known() {
+fn a_listing_of_a_later_era_replaces_the_known_records() {
     let mut mirror = Mirror::default();
     let before = vec![item(1, 1, at(1, 40)), item(2, 2, at(1, 60)), item(3, 3, at(1, 61))];
     mirror.replace(before, at(1, 61));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_listing_of_an_earlier_era_changes_nothing() {
+fn a_listing_of_an_earlier_era_is_ignored() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![item(1, 1, at(2, 5))], at(2, 5));
     assert_eq!(mirror.replace(vec![item(1, 7, at(1, 90))], at(1, 90)).items, []);
@@ -57,24 +57,27 @@
 /// Records that a restore left unchanged are not sent again, since each reader serves a third of
 /// the fleet.
 #[test]
-fn a_follower_is_told_what_a_restore_has_changed() {
+fn a_follower_receives_the_records_changed_by_a_restore() {
     let mut reader = Mirror::default();
     reader.replace(vec![item(1, 1, at(1, 40)), item(2, 2, at(1, 60))], at(1, 60));
     reader.replace(vec![item(1, 1, at(2, 40)), item(2, 1, at(2, 41))], at(2, 41));
-    let told = ask(&reader, at(1, 60));
-    assert_eq!((told.listing, told.at, told.items), (None, at(2, 41), vec![item(2, 1, at(2, 41))]));
+    let reply = query(&reader, at(1, 60));
+    assert_eq!(
+        (reply.listing, reply.at, reply.items),
+        (None, at(2, 41), vec![item(2, 1, at(2, 41))])
+    );
 }
 
 /// The follower knows a searcher that the reader never saw and that the copy lacks.
 #[test]
-fn a_follower_that_knew_more_is_told_everything() {
+fn a_follower_ahead_of_the_reader_before_a_restore_receives_a_full_listing() {
     let mut reader = Mirror::default();
     reader.replace(vec![item(1, 1, at(1, 40))], at(1, 50));
     reader.replace(vec![item(1, 1, at(2, 40))], at(2, 40));
-    let told = ask(&reader, at(1, 60));
-    assert_eq!((told.listing, told.at), (Some(at(2, 40)), at(2, 40)));
-    let told = ask(&reader, at(1, 50));
-    assert_eq!((told.listing, told.at, told.items), (None, at(2, 40), vec![]));
+    let reply = query(&reader, at(1, 60));
+    assert_eq!((reply.listing, reply.at), (Some(at(2, 40)), at(2, 40)));
+    let reply = query(&reader, at(1, 50));
+    assert_eq!((reply.listing, reply.at, reply.items), (None, at(2, 40), vec![]));
 }
 
 fn numbered(version: u64, position: Position) -> Item {
@@ -84,23 +87,23 @@
 /// The copy lacks the operator's latest version, and the operator continues its numbering, whatever
 /// revisions the restored store assigns.
 #[test]
-fn a_version_that_its_writer_has_numbered_never_falls() {
+fn writer_assigned_versions_do_not_decrease_after_a_restore() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![numbered(60, at(1, 70))], at(1, 70));
     assert_eq!(mirror.replace(vec![numbered(48, at(2, 41))], at(2, 63)).items, []);
     assert_eq!(mirror.update(vec![numbered(56, at(2, 64))], at(2, 64)).items, []);
-    assert_eq!(ask(&mirror, Position::default()).items, [numbered(60, at(1, 70))]);
+    assert_eq!(query(&mirror, Position::default()).items, [numbered(60, at(1, 70))]);
     // A copy from before the first version.
     assert_eq!(mirror.replace(vec![], at(3, 5)).items, []);
     let next = numbered(64, at(3, 6));
     assert_eq!(mirror.update(vec![next.clone()], at(3, 6)).items, [next]);
-    let gone = deleted(0, at(3, 7));
-    assert_eq!(mirror.update(vec![gone.clone()], at(3, 7)).items, [gone]);
+    let deletion = deleted(0, at(3, 7));
+    assert_eq!(mirror.update(vec![deletion.clone()], at(3, 7)).items, [deletion]);
 }
 
 /// A record received outside of the regular updates is applied only if it is newer.
 #[test]
-fn a_later_version_is_adopted_from_another_member() {
+fn a_newer_version_is_adopted_from_another_member() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![numbered(48, at(2, 41))], at(2, 41));
     let later = numbered(60, at(1, 70));
@@ -110,12 +113,12 @@
 }
 
 #[test]
-fn a_member_of_an_earlier_era_has_no_news_for_one_of_a_later() {
+fn a_member_of_an_earlier_era_has_no_updates_for_a_later_one() {
     let mut behind = Mirror::default();
     behind.replace(vec![item(1, 1, at(1, 90))], at(1, 90));
     assert!(!behind.has_news(at(2, 3)));
-    let told = ask(&behind, at(2, 3));
-    assert_eq!((told.listing, told.at, told.items), (None, at(1, 90), vec![]));
+    let reply = query(&behind, at(2, 3));
+    assert_eq!((reply.listing, reply.at, reply.items), (None, at(1, 90), vec![]));
 }
 
 /// A store that is written to and restored from copies.
@@ -192,7 +195,7 @@
 #[derive(Debug)]
 struct Listing {
     since: Position,
-    told: Position,
+    reached: Position,
     known: Position,
     by: Option<usize>,
     own_order: bool,
@@ -201,13 +204,13 @@
 
 impl Follower {
     /// Requests one page, and returns whether there are more.
-    fn ask(&mut self, by: usize, reader: &Mirror) -> bool {
+    fn query_page(&mut self, by: usize, reader: &Mirror) -> bool {
         if self.listing.as_ref().is_some_and(|begun| begun.own_order && begun.by != Some(by)) {
             self.listing = None;
         }
         let query = match &self.listing {
-            Some(Listing { since, told, known, .. }) => NewsQuery {
-                after: *told,
+            Some(Listing { since, reached, known, .. }) => NewsQuery {
+                after: *reached,
                 listing: Some(*since),
                 known: *known,
                 ..NewsQuery::default()
@@ -236,7 +239,7 @@
         let by = begun.as_ref().map_or(Some(by), |begun| begun.by.filter(|one| *one == by));
         let items = begun.map(|begun| begun.items).into_iter().flatten().chain(items).collect();
         if more {
-            self.listing = Some(Listing { since, told: at, known, by, own_order, items });
+            self.listing = Some(Listing { since, reached: at, known, by, own_order, items });
         } else {
             self.mirror.replace(items, at);
         }
@@ -287,7 +290,9 @@
 
     /// Members that query any others, in any era, end up with the content of the store.
     #[test]
-    fn all_end_with_what_the_store_holds(events in prop::collection::vec(event(), 0..120)) {
+    fn all_members_converge_to_the_content_of_the_store(
+        events in prop::collection::vec(event(), 0..120),
+    ) {
         let mut store = Store { at: at(1, 1), ..Store::default() };
         let mut readers: Vec<Follower> = (0..READERS).map(|_| Follower::default()).collect();
         let mut followers: Vec<Follower> = (0..FOLLOWERS).map(|_| Follower::default()).collect();
@@ -299,11 +304,11 @@
                 Event::List(reader) => store.list(&mut readers[reader].mirror),
                 Event::Read(reader) => store.bring_up_to_date(&mut readers[reader].mirror),
                 Event::Ask(follower, reader) => {
-                    followers[follower].ask(reader, &readers[reader].mirror);
+                    followers[follower].query_page(reader, &readers[reader].mirror);
                 }
                 Event::AskReader(one, other) => {
                     let asked = readers[other].mirror.clone();
-                    readers[one].ask(other, &asked);
+                    readers[one].query_page(other, &asked);
                 }
             }
         }
@@ -313,7 +318,7 @@
         }
         for (index, follower) in followers.iter_mut().enumerate() {
             let reader = &readers[index % READERS].mirror;
-            while follower.ask(index % READERS, reader) {}
+            while follower.query_page(index % READERS, reader) {}
             prop_assert_eq!(content(&follower.mirror), store.content.clone(), "follower {}", index);
         }
     }
--- a/crates/feed/tests/feed.rs
+++ b/crates/feed/tests/feed.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns the reply to a follower that is complete up to a revision, as a single page.
-fn news(mirror: &Mirror, after: u64) -> News {
+fn query(mirror: &Mirror, after: u64) -> News {
     let query = NewsQuery { after: at(after), ..NewsQuery::default() };
     mirror.news(&query, usize::MAX, Instant::now())
 }
@@ -30,7 +30,7 @@
 const B: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
 #[test]
-fn an_older_record_changes_nothing() {
+fn an_older_record_is_ignored() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![item("a", 5)], at(5));
     assert!(mirror.update(vec![item("a", 4)], at(4)).items.is_empty());
@@ -40,47 +40,47 @@
 }
 
 #[test]
-fn a_listing_tells_what_was_deleted_while_nobody_looked() {
+fn a_listing_reports_keys_deleted_since_the_previous_one() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![item("a", 1), item("b", 2)], at(2));
     assert_eq!(mirror.replace(vec![item("b", 2)], at(9)).items, [deleted("a", 9)]);
 }
 
 #[test]
-fn a_follower_gets_the_changes_or_everything() {
+fn a_follower_receives_the_changes_or_a_full_listing() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![item("a", 1), item("b", 2)], at(2));
     mirror.update(vec![item("a", 3), deleted("b", 4)], at(4));
-    let changes = news(&mirror, 2);
+    let changes = query(&mirror, 2);
     assert_eq!((changes.listing, changes.items), (None, vec![item("a", 3), deleted("b", 4)]));
-    let all = news(&mirror, 1);
+    let all = query(&mirror, 1);
     assert_eq!((all.listing, all.items, all.at), (Some(at(4)), vec![item("a", 3)], at(4)));
     assert!(mirror.has_news(at(3)) && !mirror.has_news(at(4)));
 }
 
 #[test]
-fn a_listing_after_forgotten_history_tells_followers_only_what_differs() {
+fn a_listing_after_lost_history_sends_followers_only_the_differences() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![item("a", 1), item("b", 2), item("c", 3)], at(3));
     mirror.replace(vec![item("a", 1), item("b", 7)], at(9));
-    let told = news(&mirror, 3);
-    assert_eq!((told.listing, told.at), (None, at(9)));
-    assert_eq!(told.items, [item("b", 7), deleted("c", 9)]);
-    assert!(news(&mirror, 2).listing.is_some());
+    let reply = query(&mirror, 3);
+    assert_eq!((reply.listing, reply.at), (None, at(9)));
+    assert_eq!(reply.items, [item("b", 7), deleted("c", 9)]);
+    assert!(query(&mirror, 2).listing.is_some());
 }
 
 #[test]
-fn a_follower_takes_over_from_any_other_member() {
+fn a_follower_continues_from_the_listing_of_another_member() {
     let (mut reader, mut follower) = (Mirror::default(), Mirror::default());
     reader.replace(vec![item("a", 1)], at(1));
-    let told = news(&reader, 0);
-    follower.replace(told.items, told.at);
+    let reply = query(&reader, 0);
+    follower.replace(reply.items, reply.at);
     assert_eq!(follower.position(), at(1));
     assert_eq!(follower.update(vec![item("a", 2)], at(2)).items, [item("a", 2)]);
 }
 
 #[test]
-fn a_reader_asks_the_store_and_others_while_it_is_turned_away() {
+fn a_reader_queries_members_between_attempts_at_a_failing_store() {
     let (mut origins, now) = (Origins::default(), Instant::now());
     assert_eq!(origins.choose(now, ReadRole::Reader, &[A, B]), Ok(Origin::Store));
     origins.record_failure((Origin::Store, Failure::Silent), now, ReadRole::Reader, 1.0);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_deputy_asks_the_store_as_soon_as_no_reader_helps() {
+fn a_deputy_queries_the_store_as_soon_as_the_readers_fail() {
     let (mut origins, now) = (Origins::default(), Instant::now());
     assert_eq!(origins.choose(now, ReadRole::Deputy, &[A]), Ok(Origin::Member(A)));
     origins.record_failure((Origin::Member(A), Failure::Stale), now, ReadRole::Deputy, 1.0);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_others_ask_the_store_only_if_no_reader_helps() {
+fn followers_query_the_store_only_after_all_readers_fail() {
     let (mut origins, now) = (Origins::default(), Instant::now());
     assert_eq!(origins.choose(now, ReadRole::Follower, &[A, B]), Ok(Origin::Member(A)));
     origins.record_failure((Origin::Member(A), Failure::Silent), now, ReadRole::Follower, 1.0);
@@ -115,7 +115,7 @@
 /// The store rejects two of three readers, and each query to them takes as long as a watch. Updates
 /// must arrive from the third within their limit of 3 s.
 #[test]
-fn a_follower_reaches_the_reader_that_is_served_within_its_bound() {
+fn a_follower_reaches_the_only_served_reader_within_the_time_limit() {
     const C: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 3);
     let (mut origins, start) = (Origins::default(), Instant::now());
     let mut now = start;
@@ -136,7 +136,7 @@
 /// The store hangs for two seconds, so every reader is briefly stale. The next update must reach a
 /// follower soon after the readers have it.
 #[test]
-fn a_follower_comes_back_soon_to_readers_that_were_stale() {
+fn a_follower_soon_returns_to_readers_that_were_stale() {
     let (mut origins, start) = (Origins::default(), Instant::now());
     for origin in [Origin::Member(A), Origin::Member(B)] {
         origins.record_failure((origin, Failure::Stale), start, ReadRole::Follower, 1.0);
@@ -148,7 +148,7 @@
 
 /// The store is down for ten seconds in a fleet of eighty members, six of which read it.
 #[test]
-fn an_outage_of_the_store_does_not_make_every_member_call_it() {
+fn a_store_outage_does_not_make_every_member_query_it() {
     let start = Instant::now();
     let mut calls = 0;
     for member in 0..80 {
--- a/crates/feed/tests/fetch.rs
+++ b/crates/feed/tests/fetch.rs
@@ -48,17 +48,17 @@
         let (version_sender, versions) = mpsc::unbounded_channel();
         let sent = Arc::<Mutex<Vec<(Ipv4Addr, usize)>>>::default();
         let lookups = Arc::<Mutex<usize>>::default();
-        let mut held = Chunks::default();
+        let mut parent_chunks = Chunks::default();
         let key = Name::from("large");
         let item = Item {
-            value: held.split(&key, Position::from(5).into(), value(7)),
+            value: parent_chunks.split(&key, Position::from(5).into(), value(7)),
             key,
             position: 5.into(),
             version: None,
         };
         let reader = Arc::new(FeedState::default());
         reader.mirror().replace(vec![item], 5.into());
-        let (sent_by_fetch, held) = (Arc::clone(&sent), Arc::new(held));
+        let (sent_by_fetch, parent_chunks) = (Arc::clone(&sent), Arc::new(parent_chunks));
         let members = Members {
             topology: Box::new(|| {
                 let (readers, chunk_sources) = (vec![READER], vec![PARENT, READER]);
@@ -71,7 +71,7 @@
             }),
             fetch_chunks: Box::new(move |ip, hashes, _wait| {
                 let mut sent = sent_by_fetch.lock().unwrap_or_else(PoisonError::into_inner);
-                let bodies = answer(&held, ip, &hashes, sent.len());
+                let bodies = answer(&parent_chunks, ip, &hashes, sent.len());
                 let bytes = bodies.iter().flatten().map(Vec::len).sum();
                 sent.push((ip, bytes));
                 Box::pin(async move { bodies })
@@ -121,8 +121,10 @@
 }
 
 #[tokio::test]
-async fn a_value_comes_from_the_parent_alone() {
-    let mut fixture = Fixture::start(|held, _ip, hashes, _count| Ok(held.select(hashes, 16 << 10)));
+async fn a_value_is_fetched_only_from_the_parent() {
+    let mut fixture = Fixture::start(|parent_chunks, _ip, hashes, _count| {
+        Ok(parent_chunks.select(hashes, 16 << 10))
+    });
     assert_eq!(fixture.version().await, 7);
     assert!(fixture.sent().iter().all(|(ip, _)| *ip == PARENT), "{:?}", fixture.sent());
 }
@@ -130,9 +132,13 @@
 /// The parent stops answering after the first chunks. The remaining ones come from the next
 /// ancestor, and none is sent twice.
 #[tokio::test]
-async fn what_came_in_before_a_member_failed_is_kept() {
-    let mut fixture = Fixture::start(|held, ip, hashes, count| {
-        if ip == PARENT && count > 0 { Err(QueryError::Silent) } else { Ok(held.select(hashes, 1)) }
+async fn chunks_received_before_a_failure_are_not_fetched_again() {
+    let mut fixture = Fixture::start(|parent_chunks, ip, hashes, count| {
+        if ip == PARENT && count > 0 {
+            Err(QueryError::Silent)
+        } else {
+            Ok(parent_chunks.select(hashes, 1))
+        }
     });
     assert_eq!(fixture.version().await, 7);
     let bytes: usize = fixture.sent().iter().map(|(_, bytes)| bytes).sum();
@@ -142,26 +148,26 @@
 
 /// A parent that is itself waiting for the chunks does not prevent a query to the next ancestor.
 #[tokio::test]
-async fn a_parent_that_lacks_chunks_is_passed_over() {
-    let mut fixture = Fixture::start(|held, ip, hashes, _count| {
-        if ip == PARENT { Ok(Vec::new()) } else { Ok(held.select(hashes, 16 << 10)) }
+async fn a_parent_without_the_chunks_is_skipped() {
+    let mut fixture = Fixture::start(|parent_chunks, ip, hashes, _count| {
+        if ip == PARENT { Ok(Vec::new()) } else { Ok(parent_chunks.select(hashes, 16 << 10)) }
     });
     assert_eq!(fixture.version().await, 7);
 }
 
 /// Chunks that were not requested have no effect.
 #[tokio::test]
-async fn wrong_chunks_are_no_help() {
-    let mut fixture = Fixture::start(|held, ip, hashes, _count| {
+async fn chunks_that_were_not_requested_are_ignored() {
+    let mut fixture = Fixture::start(|parent_chunks, ip, hashes, _count| {
         let wrong = vec![vec![0; 5000], Vec::new()];
-        if ip == PARENT { Ok(wrong) } else { Ok(held.select(hashes, 16 << 10)) }
+        if ip == PARENT { Ok(wrong) } else { Ok(parent_chunks.select(hashes, 16 << 10)) }
     });
     assert_eq!(fixture.version().await, 7);
 }
 
 /// No member can help: the value is read from the store itself, which already has a newer one.
 #[tokio::test]
-async fn the_store_is_read_if_no_member_helps() {
+async fn the_store_is_read_if_no_member_has_the_value() {
     let mut fixture = Fixture::start(|_held, _ip, _hashes, _count| Err(QueryError::Silent));
     assert_eq!(fixture.version().await, 9);
     assert_eq!(*fixture.lookups.lock().unwrap_or_else(PoisonError::into_inner), 1);
--- a/crates/feed/tests/herd.rs
+++ b/crates/feed/tests/herd.rs
@@ -58,7 +58,7 @@
 /// The store is down for 6 s, so all readers are stale. Each call is metered, and unlimited retries
 /// of 1,800 members would reach the limit for all reads together.
 #[test]
-fn an_outage_costs_as_many_calls_whatever_the_size_of_the_fleet() {
+fn store_queries_during_an_outage_are_bounded_for_any_fleet_size() {
     for members in [75, 295, 1800] {
         let (calls, _first) = outage(members, SECOND * 6);
         assert!(calls <= 100, "{members} members: {calls} calls");
@@ -68,7 +68,7 @@
 /// The store rejects all readers, and serves two thirds of the other members. One of those must
 /// call it soon, because the others get their updates from it.
 #[test]
-fn somebody_asks_the_store_soon_where_no_reader_can() {
+fn a_follower_queries_the_store_soon_if_all_readers_are_stale() {
     for members in [8, 75, 295, 1800] {
         let (_calls, first) = outage(members, SECOND * 2);
         assert!(first.is_some_and(|first| first < SECOND / 2), "{members} members: {first:?}");
@@ -77,12 +77,12 @@
 
 /// All members lose power at once, and restart together without knowing any others.
 #[test]
-fn members_that_start_at_once_leave_the_store_to_the_seeds() {
+fn only_seeds_read_the_store_when_all_members_start_together() {
     let seeds = [ip(0), ip(1), ip(2)];
-    let topology = |own: usize, there: &[usize], fresh: &[usize]| {
-        let there: BTreeSet<Ipv4Addr> = there.iter().copied().map(ip).collect();
+    let topology = |own: usize, reachable: &[usize], fresh: &[usize]| {
+        let reachable: BTreeSet<Ipv4Addr> = reachable.iter().copied().map(ip).collect();
         let fresh = fresh.iter().copied().map(ip).collect();
-        Topology::bootstrap(ip(own), &seeds, |seed| there.contains(&seed), fresh, 300)
+        Topology::bootstrap(ip(own), &seeds, |seed| reachable.contains(&seed), fresh, 300)
     };
     let queried = |topology: Option<Topology>| {
         let topology = topology.expect("there is a member to query");
--- a/crates/feed/tests/pages.rs
+++ b/crates/feed/tests/pages.rs
@@ -38,11 +38,11 @@
 
 impl Follower {
     /// Requests one page, and returns whether there are more.
-    fn ask(&mut self, reader: &Mirror) -> bool {
+    fn query_page(&mut self, reader: &Mirror) -> bool {
         let listing = self.listing.as_ref().map(|(since, _, _)| *since);
-        let told = self.listing.as_ref().map(|(_, told, _)| *told);
+        let reached = self.listing.as_ref().map(|(_, reached, _)| *reached);
         let query = NewsQuery {
-            after: told.unwrap_or(self.mirror.position()),
+            after: reached.unwrap_or(self.mirror.position()),
             listing,
             ..NewsQuery::default()
         };
@@ -68,7 +68,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_follower_ends_with_what_the_reader_holds(
+    fn a_follower_converges_to_the_content_of_the_reader(
         first in prop::collection::vec((0_u8..12, any::<bool>()), 1..30),
         changes in prop::collection::vec((0_u8..12, any::<bool>(), 0_u8..3), 0..60),
         begins_known in any::<bool>(),
@@ -84,23 +84,23 @@
         reader.replace(listed.collect(), at(revision));
         let mut follower = Follower::default();
         if begins_known {
-            while follower.ask(&reader) {}
+            while follower.query_page(&reader) {}
         }
         for (key, deleted, pages) in changes {
             revision += 1;
             reader.update(vec![item(key, revision, deleted)], at(revision));
             for _ in 0..pages {
-                follower.ask(&reader);
+                follower.query_page(&reader);
             }
         }
-        while follower.ask(&reader) {}
+        while follower.query_page(&reader) {}
         prop_assert_eq!(follower.mirror.position(), reader.position());
         prop_assert_eq!(content(&follower.mirror), content(&reader));
     }
 }
 
 #[test]
-fn a_page_is_bounded_and_the_next_one_goes_on_after_it() {
+fn a_page_is_bounded_and_the_next_one_continues_after_it() {
     let mut reader = Mirror::default();
     reader.replace((1..=9).map(|key| item(key, u64::from(key), false)).collect(), at(9));
     let mut query = NewsQuery::default();
@@ -120,7 +120,7 @@
 /// A member that is behind a listing sends none of it, since it may still hold records that were
 /// deleted before the listing began.
 #[test]
-fn a_member_that_is_behind_a_listing_tells_none_of_it() {
+fn a_member_behind_a_listing_sends_none_of_its_records() {
     let mut behind = Mirror::default();
     behind.replace(vec![item(1, 5, false)], at(5));
     let query = NewsQuery { after: at(3), listing: Some(at(9)), ..NewsQuery::default() };
--- a/crates/feed/tests/spread/main.rs
+++ b/crates/feed/tests/spread/main.rs
@@ -59,7 +59,7 @@
 /// Versions are published 10 to 300 ms apart for 8 s. A member that reads the store finds up to 25
 /// of them in one reply.
 #[test]
-fn versions_in_quick_succession_are_in_force_everywhere() {
+fn versions_in_quick_succession_reach_all_members() {
     for (members, lag_limit) in FLEETS {
         let load = Load { members, ..Load::default() };
         let simulate = |pause| check(Load { pause: MS * pause, ..load }, lag_limit, Calls::One);
@@ -77,7 +77,7 @@
 /// Versions of 35 to 700 KB are published ten times a second and more, over 14 Mbit/s links: one
 /// version of the largest takes 0.4 s.
 #[test]
-fn a_reader_whose_link_carries_few_versions_keeps_up() {
+fn a_reader_on_a_slow_link_keeps_up() {
     for (members, routes, pause) in
         [(6, 80, 10), (6, 400, 10), (6, 400, 100), (6, 2850, 300), (75, 80, 10), (75, 400, 100)]
     {
@@ -95,7 +95,7 @@
 ///
 /// The reader of a region is lost 2 s into a series of versions.
 #[test]
-fn whoever_takes_over_from_a_lost_reader_keeps_up() {
+fn the_replacement_of_a_lost_reader_keeps_up() {
     let reader_lost_at = Some(Duration::from_secs(2));
     for (members, routes, pause, rate) in [
         (6, 18, 10, 125_000_000),
@@ -117,7 +117,7 @@
 /// Versions are published four times a second, and a third of 300 members queries one reader over a
 /// 3.5 Mbit/s link, so that a fetch takes longer than the time between versions.
 #[test]
-fn fetches_that_take_longer_than_the_next_version_end() {
+fn fetches_slower_than_the_version_interval_complete() {
     for (routes, pause) in [(18, 100), (18, 300)] {
         let pause = MS * pause;
         let load = Load { members: 300, routes, pause, rate: SLOW_LINK / 4, ..Load::default() };
@@ -131,7 +131,7 @@
 /// Versions are published ten times a second. The store is down for half a second and comes back
 /// from a copy that lacks the versions of two seconds, while the operator continues its numbering.
 #[test]
-fn a_restored_store_is_followed_by_all() {
+fn all_members_follow_a_restored_store() {
     let restore = Restore { at: MS * 3000, downtime: MS * 500, lost_versions: 20 };
     let pause = MS * 100;
     for members in [6, 75, 300] {
--- a/crates/model/tests/fleet.rs
+++ b/crates/model/tests/fleet.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn members_that_start_at_once_know_each_other() {
+fn members_that_start_together_discover_each_other() {
     for members in SIZES {
         assert_converges(&Fleet::starting(members), START_SPREAD, START_LIMIT);
     }
@@ -38,7 +38,7 @@
 
 /// The design limit of 1,800 members, at which some four million records are learnt one by one.
 #[test]
-fn members_of_the_largest_fleet_that_start_at_once_know_each_other() {
+fn members_of_the_largest_fleet_that_start_together_discover_each_other() {
     assert_converges(
         &Fleet { duration: SECOND * 5, ..Fleet::starting(1800) },
         START_SPREAD,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn members_that_lose_their_power_at_once_know_each_other_again() {
+fn members_rediscover_each_other_after_a_power_failure() {
     for members in SIZES {
         let back = FIRST_CHANGE_AT + MS * 1400 + START_SPREAD;
         assert_converges(&Fleet::with_power_failure(members), back, START_LIMIT);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_member_that_dies_is_known_to_be_dead_everywhere() {
+fn a_dead_member_is_detected_by_all_others() {
     for members in SIZES {
         assert_converges(&Fleet::with_crash(members), FIRST_CHANGE_AT, SECOND * 3);
     }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn members_that_are_replaced_are_known_and_control_stays_small() {
+fn replaced_members_are_discovered_with_little_control_traffic() {
     for members in SIZES {
         let fleet = Fleet::with_replacements(members);
         let last = fleet.duration.saturating_sub(SECOND * 10);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn clocks_that_are_far_apart_change_nothing() {
+fn members_converge_despite_clock_skew() {
     for members in SIZES {
         let max_clock_skew = SECOND * 30;
         let back = FIRST_CHANGE_AT + MS * 1400 + START_SPREAD;
@@ -150,7 +150,7 @@
 
 /// Each member that does not know the verdict yet may lose a searcher to the request.
 #[test]
-fn a_request_that_one_member_condemns_is_condemned_by_all() {
+fn a_request_condemned_by_one_member_is_condemned_by_all() {
     for members in SIZES {
         let spread = run(&Fleet::with_condemnation(members)).time_until_condemned(FIRST_CHANGE_AT);
         assert!(spread.is_some_and(|time| time <= SECOND), "{members} members: {spread:?}");
@@ -160,7 +160,7 @@
 /// A member that starts after the verdict, and members that were partitioned from it, must learn
 /// of it.
 #[test]
-fn members_that_were_away_hear_of_what_was_condemned_meanwhile() {
+fn absent_members_learn_of_requests_condemned_meanwhile() {
     for members in SIZES {
         let (condemned, healed) = (FIRST_CHANGE_AT + SECOND * 2, FIRST_CHANGE_AT + SECOND * 8);
         let fleet = Fleet::starting(members).with_steps([
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn crashed_searchers_refuse_attempts_and_then_receive_few() {
+fn crashed_searchers_soon_receive_few_attempts() {
     let crash = Crash { percent: 30, at: MS * 10_000, duration: MS * 3000 };
     let load = Load { crash: Some(crash), duration: MS * 20_000, ..Load::default() };
     let (with, without) = (run(&load), run(&Load { crash: None, ..load.clone() }));
--- a/crates/relay/tests/coverage.rs
+++ b/crates/relay/tests/coverage.rs
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn the_coverage_follows_searchers_that_come_change_and_go() {
+async fn coverage_is_updated_when_searchers_are_added_changed_or_removed() {
     let script = part(1).await;
     let at =
         |id, service, zone: &str| Upstream { zone: zone.into(), ..upstream(id, service, &script) };
--- a/crates/relay/tests/fatal.rs
+++ b/crates/relay/tests/fatal.rs
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_fatal_request_to_one_service_ends_at_most_five_searchers() {
+async fn a_fatal_request_to_one_service_crashes_at_most_five_searchers() {
     let all = searchers(&["a"], 8).await;
     let relay = relay_for(&all, Target::Service("a".into()));
     let last = repeat_fatal_request(&relay).await;
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn a_fatal_gather_ends_one_searcher_a_shard_and_three_at_most() {
+async fn a_fatal_gather_crashes_at_most_one_searcher_per_shard_plus_three() {
     let shards = ["a", "b", "c", "d", "e", "f"];
     let all = searchers(&shards, 3).await;
     let relay = relay_for(&all, gather(&shards, 0.8));
@@ -107,7 +107,7 @@
 
 /// Only one shard is affected, so responses of the others must not clear the request.
 #[tokio::test]
-async fn a_gather_that_is_fatal_to_one_shard_ends_at_most_five_searchers() {
+async fn a_gather_that_is_fatal_to_one_shard_crashes_at_most_five_searchers() {
     let mut all = searchers(&["a"], 8).await;
     for (byte, service) in [(101, "b"), (102, "c"), (103, "d")] {
         all.push((service, support::part(byte).await));
--- a/crates/relay/tests/helped.rs
+++ b/crates/relay/tests/helped.rs
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_members_merged_answer_counts_each_of_its_shards() {
+async fn a_merged_reply_of_a_member_counts_each_of_its_shards() {
     let (west, east) = (part(1).await, part(2).await);
     let shards = vec![ShardOutcome::In(b"s1".to_vec()), ShardOutcome::In(b"s2".to_vec())];
     let reply = ShardReply {
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn what_a_member_missed_is_asked_of_another_searcher_and_not_of_the_same() {
+async fn a_shard_missing_from_a_members_reply_is_requested_from_another_searcher() {
     let (west, east) = (part(1).await, part(2).await);
     let silent = ShardOutcome::Silent(incarnation("a-west"));
     let shards = vec![silent, ShardOutcome::In(b"s2".to_vec())];
@@ -125,21 +125,21 @@
 }
 
 #[tokio::test]
-async fn records_that_a_member_left_out_are_fetched_if_they_may_be_among_the_greatest() {
+async fn omitted_records_are_fetched_if_they_may_be_among_the_greatest() {
     let answer = merge_with_left_out(9, 8).await;
     assert_eq!(&*answer.records, [record(9), record(7)].concat());
     assert_eq!((answer.signatures.len(), answer.missing), (2, 0));
 }
 
 #[tokio::test]
-async fn records_that_a_member_left_out_are_not_fetched_if_they_cannot_be_among_the_greatest() {
+async fn omitted_records_are_not_fetched_if_they_cannot_be_among_the_greatest() {
     // All records left out are at most 1, and the response holds two records.
     let answer = merge_with_left_out(1, 8).await;
     assert_eq!(&*answer.records, [record(2), record(1)].concat());
 }
 
 #[tokio::test]
-async fn a_shard_whose_left_out_records_cannot_be_fetched_is_dropped() {
+async fn a_shard_is_dropped_if_its_omitted_records_cannot_be_fetched() {
     let answer = merge_with_left_out(9, 9).await;
     assert_eq!(&*answer.records, record(2));
     assert_eq!((answer.signatures.len(), answer.missing), (1, 1));
--- a/crates/relay/tests/metrics.rs
+++ b/crates/relay/tests/metrics.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_page_of_metrics_is_complete() {
+fn documented_metrics_match_the_code() {
     let code = names(include_str!("../src/meter.rs"));
     let page = names(include_str!("../../../docs/METRICS.md"));
     assert!(!code.is_empty());
--- a/crates/relay/tests/one.rs
+++ b/crates/relay/tests/one.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn a_request_and_its_answer_pass_unchanged() {
+async fn a_request_and_its_response_are_forwarded_unchanged() {
     let one = script(|seen| ok(seen, "sig", b"answer")).await;
     let relay = relay(
         vec![route("/a/", Idempotency::Idempotent, service())],
@@ -41,9 +41,9 @@
     let seen = one.requests().remove(0);
     assert!(seen.head.starts_with("POST /a/b?c=d HTTP/1.1\r\n"), "{}", seen.head);
     assert_eq!((seen.header("x-id"), seen.header("x-meant")), (Some("r1"), Some("i1")));
-    let left: u64 =
-        seen.header("x-left").and_then(|left| left.parse().ok()).expect("x-left is not a number");
-    assert!((1..=1500).contains(&left) && seen.body == b"body", "{left}");
+    let remaining_ms: u64 =
+        seen.header("x-left").and_then(|value| value.parse().ok()).expect("x-left is not a number");
+    assert!((1..=1500).contains(&remaining_ms) && seen.body == b"body", "{remaining_ms}");
 }
 
 #[tokio::test]
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_run_once_goes_on_only_after_a_certain_end() {
+async fn a_non_idempotent_request_is_retried_if_it_has_not_run() {
     let refusing = script(|_| not_run("503 Service Unavailable")).await;
     let good = script(|seen| ok(seen, "sig", b"done")).await;
     let upstreams = vec![upstream("i1", "s", &refusing), upstream("i2", "s", &good)];
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_run_once_is_not_sent_again_after_a_reset() {
+async fn a_non_idempotent_request_is_not_resent_after_a_reset() {
     let resetting = |_: &RecordedRequest| vec![Step::Reset];
     let (one, two) = (script(resetting).await, script(resetting).await);
     let upstreams = vec![upstream("i1", "s", &one), upstream("i2", "s", &two)];
@@ -77,22 +77,20 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_run_again_survives_what_searchers_do_to_its_answer() {
-    type Play = fn(&RecordedRequest) -> Vec<Step>;
-    let faults: [(&str, Play); 6] = [
+async fn an_idempotent_request_is_retried_after_an_invalid_response() {
+    type FaultScript = fn(&RecordedRequest) -> Vec<Step>;
+    let faults: [(&str, FaultScript); 6] = [
         ("reset", |_| vec![Step::Reset]),
         ("closed", |_| vec![Step::Close]),
-        ("no answer in the protocol", |_| {
-            vec![Step::Send(b"garbage\r\n\r\n".to_vec()), Step::Close]
-        }),
-        ("cut body", |seen| {
-            let whole = reply(seen, "200 OK", "sig", b"answer");
-            vec![Step::Send(whole[..whole.len() - 3].to_vec()), Step::Close]
+        ("not HTTP", |_| vec![Step::Send(b"garbage\r\n\r\n".to_vec()), Step::Close]),
+        ("truncated body", |seen| {
+            let complete = reply(seen, "200 OK", "sig", b"answer");
+            vec![Step::Send(complete[..complete.len() - 3].to_vec()), Step::Close]
         }),
         ("no signature", |_| {
             vec![Step::Send(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi".to_vec())]
         }),
-        ("another request's answer", |_| {
+        ("response to another request", |_| {
             let text =
                 "HTTP/1.1 200 OK\r\nx-id: r0\r\nx-signature: s\r\ncontent-length: 2\r\n\r\nhi";
             vec![Step::Send(text.as_bytes().to_vec())]
@@ -111,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn a_second_answer_on_a_kept_connection_reaches_nobody() {
+async fn an_unsolicited_response_on_a_reused_connection_is_discarded() {
     let twice = |seen: &RecordedRequest| {
         let first = reply(seen, "200 OK", "sig", b"right");
         let late = reply(seen, "200 OK", "sig", b"wrong");
@@ -129,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_without_a_length_ends_with_its_connection() {
+async fn a_response_without_a_length_ends_when_the_connection_closes() {
     let unframed = |seen: &RecordedRequest| {
         let id = seen.header("x-id").unwrap_or_default();
         let text = format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: sig\r\n\r\nall of it");
@@ -144,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn an_address_that_another_searcher_has_is_not_asked_again() {
+async fn an_address_reassigned_to_another_searcher_is_not_retried() {
     let other = script(|_| not_run("421 Misdirected Request")).await;
     let good = script(|seen| ok(seen, "sig", b"mine")).await;
     let upstreams = vec![upstream("old", "s", &other), upstream("i2", "s", &good)];
@@ -187,8 +185,8 @@
         vec![route("/a/", Idempotency::NonIdempotent, service())],
         vec![upstream("i1", "s", &silent)],
     );
-    let left = tokio::time::timeout(Duration::from_millis(100), relay.handle(request("/a/")));
-    assert!(left.await.is_err(), "expected the caller to time out");
+    let outcome = tokio::time::timeout(Duration::from_millis(100), relay.handle(request("/a/")));
+    assert!(outcome.await.is_err(), "expected the caller to time out");
     for _ in 0..100 {
         if silent.closed_connections() == 1 {
             return;
@@ -199,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn a_searcher_that_drains_gets_nothing_new() {
+async fn a_draining_searcher_receives_no_new_requests() {
     let one = script(|seen| ok(seen, "sig", b"one")).await;
     let two = script(|seen| ok(seen, "sig", b"two")).await;
     let upstreams = vec![upstream("i1", "s", &one), upstream("i2", "s", &two)];
--- a/daemons/tests/command_line.rs
+++ b/daemons/tests/command_line.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn every_program_has_help_and_version() {
+fn all_programs_have_help_and_version() {
     for program in [CTL, ENTRY, GATHER] {
         let (help, code) = text_and_code(&run_program(program, &["--help"]));
         assert!(help.contains("--version"), "{help}");
@@ -26,7 +26,7 @@
 /// Guards against an error from `bergamotctl policy | head -1`, where the reader closes the pipe
 /// before all output has been written.
 #[test]
-fn a_reader_that_leaves_early_is_no_failure() {
+fn a_closed_output_pipe_is_not_an_error() {
     let mut child = std::process::Command::new(CTL)
         .arg("policy")
         .stdout(std::process::Stdio::piped())
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn unknown_options_are_refused() {
+fn unknown_options_are_rejected() {
     for program in [CTL, ENTRY, GATHER] {
         let (text, code) = text_and_code(&run_program(program, &["--bogus"]));
         assert!(text.contains("--bogus"), "{text}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_wrong_key_in_settings_is_named_with_what_is_allowed() {
+fn an_unknown_settings_key_is_reported_with_the_allowed_keys() {
     let path = temporary_file("wrong-key.ini", "[instance]\nadress = 127.0.0.1\n");
     for args in [["--settings", path.as_str(), "--check"], ["check", "--settings", path.as_str()]] {
         let program = if args[0] == "check" { CTL } else { ENTRY };
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_truncated_document_is_refused_whole() {
+fn a_truncated_document_is_rejected() {
     let path = temporary_file("truncated.json", r#"{"revision": 7, "instances": 8, "places": ["#);
     let (text, code) = text_and_code(&run_program(CTL, &["check", "--document", &path]));
     assert!(text.contains("truncated.json"), "{text}");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_for_a_missing_file_names_it() {
     let (text, code) =
         text_and_code(&run_program(CTL, &["check", "--document", "no-such-file.json"]));
     assert!(text.contains("read document no-such-file.json"), "{text}");
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn a_daemon_that_does_not_answer_is_named() {
+fn the_error_for_an_unreachable_daemon_names_its_address() {
     let (text, code) = text_and_code(&run_program(CTL, &["dump", "127.0.0.1:1"]));
     assert!(text.contains("dial 127.0.0.1:1"), "{text}");
     assert_eq!(code, Some(1));
 }
 
 #[test]
-fn the_policy_is_printed_whole_or_by_name_and_an_unknown_name_is_refused() {
+fn policy_prints_all_or_one_mechanism_and_rejects_unknown_names() {
     let (text, code) = text_and_code(&run_program(CTL, &["policy"]));
     for name in bergamot_policy::NAMES {
         assert!(text.contains(&format!("{name} (on)")), "{text}");
--- a/daemons/tests/faults.rs
+++ b/daemons/tests/faults.rs
@@ -62,8 +62,8 @@
     history
 }
 
-/// Asserts that the history violates no promise. Requests may be lost only at the entry `dead`.
-fn assert_promises_hold(history: &History, dead: Option<std::net::SocketAddr>) {
+/// Asserts that the history violates no invariant. Requests may be lost only at the entry `dead`.
+fn assert_invariants(history: &History, dead: Option<std::net::SocketAddr>) {
     let lost_at_dead_entry =
         |detail: &str| dead.is_some_and(|entry| detail.ends_with(&entry.to_string()));
     let violations: Vec<_> = check(history)
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_gather_costs_no_request() {
+async fn a_killed_gather_loses_no_request() {
     let mut testbed = start_testbed([51, 1], 4).await;
     let victim = testbed.instances.remove(3);
     let history = run_under_load(&testbed, 5, async {
@@ -84,11 +84,11 @@
         victim.gather.signal("KILL");
     })
     .await;
-    assert_promises_hold(&history, None);
+    assert_invariants(&history, None);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_entry_loses_only_its_own_and_its_keys_never_run_again() {
+async fn a_killed_entry_loses_only_its_own_requests_and_its_keys_are_not_executed() {
     let mut testbed = start_testbed([51, 2], 4).await;
     let settings = testbed.settings(1);
     let first: serde_json::Value =
@@ -104,7 +104,7 @@
         victim.signal("KILL");
     })
     .await;
-    assert_promises_hold(&history, Some(dead));
+    assert_invariants(&history, Some(dead));
     drop(victim);
     testbed.instances[1].entry = DaemonProcess::start(ENTRY, &settings);
     wait_until_complete(dead).await;
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_gather_costs_no_request_and_wakes_without_old_work() {
+async fn a_frozen_gather_loses_no_request_and_resumes() {
     let testbed = start_testbed([51, 3], 4).await;
     let history = run_under_load(&testbed, 9, async {
         tokio::time::sleep(SECOND).await;
@@ -130,12 +130,12 @@
         testbed.instances[2].gather.signal("CONT");
     })
     .await;
-    assert_promises_hold(&history, None);
+    assert_invariants(&history, None);
     wait_until_complete(testbed.entry(2)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_entry_wakes_up_and_nothing_is_doubled() {
+async fn a_frozen_entry_resumes_without_duplicate_writes() {
     let testbed = start_testbed([51, 4], 4).await;
     let history = run_under_load(&testbed, 9, async {
         tokio::time::sleep(SECOND).await;
@@ -144,12 +144,12 @@
         testbed.instances[0].entry.signal("CONT");
     })
     .await;
-    assert_promises_hold(&history, Some(testbed.entry(0)));
+    assert_invariants(&history, Some(testbed.entry(0)));
     wait_until_complete(testbed.entry(0)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_that_slept_through_a_revision_wakes_up_with_it() {
+async fn a_resumed_process_does_not_serve_an_outdated_revision() {
     let testbed = start_testbed([51, 5], 3).await;
     for signal in ["STOP", "CONT"] {
         testbed.instances[0].entry.signal(signal);
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gather_that_slept_sends_nothing_to_a_searcher_that_left_meanwhile() {
+async fn a_resumed_gather_sends_nothing_to_searchers_that_left() {
     let testbed = start_testbed([51, 6], 4).await;
     let searchers = testbed.stand_ins.searchers_of("queue-board");
     for instance in &testbed.instances[..2] {
@@ -184,14 +184,14 @@
     }
     // The running instances learn from the answers that the searchers are leaving.
     let history = run_under_load(&testbed, 4, async {}).await;
-    assert_promises_hold(&history, None);
+    assert_invariants(&history, None);
     let before: usize = searchers.iter().step_by(2).map(|searcher| searcher.searches()).sum();
     for instance in &testbed.instances[..2] {
         instance.gather.signal("CONT");
     }
     tokio::time::sleep(2 * SECOND).await;
     let history = run_under_load(&testbed, 2, async {}).await;
-    assert_promises_hold(&history, None);
+    assert_invariants(&history, None);
     let after: usize = searchers.iter().step_by(2).map(|searcher| searcher.searches()).sum();
     assert_eq!(after, before, "searchers that left received new requests");
 }
@@ -202,33 +202,33 @@
                                  gather_peers = 8411\ngather_control = 8412\n\
                                  gather_admin = 8413\n";
 
-/// The last three digits of the ports that the border forwards, and whether it also forwards
-/// datagrams there.
+/// The last three digits of the ports that the partition proxy forwards, and whether it also
+/// forwards datagrams there.
 const FORWARDED_PORTS: [(u16, bool); 5] =
     [(400, false), (401, false), (402, true), (411, false), (412, true)];
 
-/// Opens the border between instances 0 and 1 on one side and 2 and 3 on the other.
-async fn open_border(deployment: &Deployment) -> PartitionProxy {
-    let way = |number: usize, (port, udp): (u16, bool)| {
+/// Starts a proxy between instances 0 and 1 on one side and 2 and 3 on the other.
+async fn start_partition_proxy(deployment: &Deployment) -> PartitionProxy {
+    let forward = |number: usize, (port, udp): (u16, bool)| {
         let (listen_base, target_base) = if number < 2 { (8000, 7000) } else { (7000, 8000) };
         let ip = deployment.instance(number);
         ForwardedPort { ip, listen_port: listen_base + port, target_port: target_base + port, udp }
     };
-    let ways: Vec<_> =
-        (0..4).flat_map(|number| FORWARDED_PORTS.map(|port| way(number, port))).collect();
-    PartitionProxy::start(&ways).await.expect("no other test uses the block of addresses")
+    let forwarded: Vec<_> =
+        (0..4).flat_map(|number| FORWARDED_PORTS.map(|port| forward(number, port))).collect();
+    PartitionProxy::start(&forwarded).await.expect("no other test uses the block of addresses")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn both_parts_of_a_split_fleet_serve_and_nothing_reverts_or_doubles() {
+async fn both_sides_of_a_partition_serve_without_reverts_or_duplicate_writes() {
     let deployment = Deployment::fraser_basin([51, 7], SEED);
-    let border = open_border(&deployment).await;
+    let proxy = start_partition_proxy(&deployment).await;
     // The second part reads another platform, which keeps the old revision.
     let second_platform: [std::net::SocketAddr; 2] =
         ["127.51.7.3:7300", "127.51.7.3:7301"].map(|address| address.parse().expect("an address"));
     let lagging_platform = Platform::start(second_platform[0], second_platform[1])
         .await
-        .expect("no second_entry test uses the block of addresses");
+        .expect("no other test uses the block of addresses");
     lagging_platform.publish(&deployment.document(1));
     lagging_platform.set_instances(deployment.list(0..4));
     let mut testbed = Testbed::start(deployment, 4, SHORT_INTERVALS).await;
@@ -246,7 +246,7 @@
     let key = format!("{}-order", prefix["write_prefix"].as_str().expect("a prefix"));
     let headers = [("idempotency-key", key.as_str())];
 
-    border.set_partitioned(true);
+    proxy.set_partitioned(true);
     testbed.stand_ins.platform.publish(&testbed.stand_ins.deployment.document(9));
     until("the first part has revision 9", || async move {
         post(first_entry, QUEUE, &[], SCAN).await.1["revision"] == 9
@@ -273,7 +273,7 @@
     let (_, done) = post(first_entry, LEDGER, &headers, WRITE_BODY).await;
     assert_eq!(done["outcome"], "done", "{done}");
 
-    border.set_partitioned(false);
+    proxy.set_partitioned(false);
     until("the second part has revision 9", || async move {
         post(second_entry, QUEUE, &[], SCAN).await.1["revision"] == 9
     })
@@ -289,7 +289,7 @@
     .await;
     let mut history = History::default();
     testbed.stand_ins.collect(&mut history);
-    assert!(check(&history).is_empty(), "a promise was violated: {:?}", check(&history));
+    assert!(check(&history).is_empty(), "an invariant was violated: {:?}", check(&history));
     let (_, over) = testbed.stand_ins.connections();
     assert_eq!(over, 0, "connection limits were exceeded while the fleet was split");
     assert_eq!(first_entry.port(), ENTRY_PORT);
@@ -298,7 +298,7 @@
 /// Guards against a run that executes a key issued by its predecessor: an entry that has not yet
 /// learned of the restart forwards the key to the new run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_run_that_is_asked_for_a_key_of_the_run_before_cannot_tell_whether_it_ran() {
+async fn a_key_of_the_previous_run_has_an_unknown_outcome() {
     let testbed = start_testbed([51, 9], 2).await;
     let peers = SocketAddr::new(testbed.entry(0).ip(), 7401);
     let channels = Channels::<EntryClient>::new(Ipv4Addr::LOCALHOST);
--- a/daemons/tests/losses.rs
+++ b/daemons/tests/losses.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn losses_are_told_by_route_reason_and_moment() {
+fn losses_are_reported_by_route_reason_and_time() {
     let losses = Losses::parse(LOG);
     let reasons: Vec<(&str, &str, f64)> = losses
         .reasons
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_command_prints_the_table_and_draws_it() {
+fn the_losses_command_prints_the_table_and_draws_a_chart() {
     let path = std::env::temp_dir().join(format!("bergamot-{}-losses.svg", std::process::id()));
     let output = run_with_log(&["losses", "--plot", &path.to_string_lossy()], LOG);
     let text = String::from_utf8_lossy(&output.stdout);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_log_without_requests_is_refused() {
+fn a_log_without_requests_is_rejected() {
     let output = run_with_log(&["losses"], "nothing\n");
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8_lossy(&output.stderr);
--- a/daemons/tests/path.rs
+++ b/daemons/tests/path.rs
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_is_served_from_one_end_to_the_other() {
+async fn a_request_is_served_end_to_end() {
     let mut testbed = Testbed::start(Deployment::fraser_basin([50, 1], Seed(1)), 2, "").await;
     testbed.add(0).await;
     testbed.add(1).await;
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_takes_effect_once_at_whichever_entry_it_arrives() {
+async fn a_key_is_executed_once_across_entries() {
     let mut testbed = Testbed::start(Deployment::fraser_basin([50, 2], Seed(1)), 2, "").await;
     testbed.add(0).await;
     testbed.add(1).await;
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_callers_get_wrong_is_told_with_step_and_peer() {
+async fn errors_for_invalid_requests_name_the_step_and_the_peer() {
     let mut testbed = Testbed::start(Deployment::fraser_basin([50, 3], Seed(1)), 1, "").await;
     testbed.add(0).await;
     wait_until_complete(&testbed).await;
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn state_and_metrics_stand_on_their_own_listener() {
+async fn state_and_metrics_have_a_separate_listener() {
     let mut testbed = Testbed::start(Deployment::fraser_basin([50, 4], Seed(1)), 1, "").await;
     testbed.add(0).await;
     wait_until_complete(&testbed).await;
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_instance_stands_in_for_listed_ones_that_never_came() {
+async fn one_instance_serves_if_the_other_listed_ones_never_start() {
     let extra = "[control]\nprobe = 100\nanswer = 40\nsuspicion = 200\n";
     let mut testbed = Testbed::start(Deployment::fraser_basin([50, 6], Seed(1)), 8, extra).await;
     testbed.add(5).await;
--- a/daemons/tests/story.rs
+++ b/daemons/tests/story.rs
@@ -17,7 +17,7 @@
 "#;
 
 #[test]
-fn a_story_holds_a_requests_lines_and_what_changed_for_those_it_names() {
+fn explain_selects_the_lines_of_a_request_and_of_its_searchers() {
     let lines = explain_request(LOG, "r1");
     let events: Vec<&str> =
         lines.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn explain_reads_standard_input_and_says_when_nothing_is_known() {
+fn explain_reads_standard_input_and_fails_for_an_unknown_request() {
     let run = |id: &str| {
         let mut child = Command::new(env!("CARGO_BIN_EXE_bergamotctl"))
             .args(["explain", id])
