--- a/crates/bench/src/capacity/control.rs
+++ b/crates/bench/src/capacity/control.rs
@@ -82,7 +82,7 @@
     let (at_start, began) = (fleet.sums(), Instant::now());
     std::thread::sleep(MEASUREMENT_PERIOD);
     let busy_bytes = (fleet.sums()[1] - at_start[1]) / began.elapsed().as_secs_f64() / daemons;
-    fleet.settle();
+    fleet.wait_until_gossip_ends();
     let total_kb = (memory() - before) / 1024.0;
     let (sums, counts, cpu_before) = (fleet.sums(), fleet.platform.counts(), cpu("member"));
     std::thread::sleep(MEASUREMENT_PERIOD);
@@ -174,7 +174,7 @@
     }
 
     /// Waits until no node has rumours left to send, or until a timeout.
-    fn settle(&self) {
+    fn wait_until_gossip_ends(&self) {
         let end = Instant::now() + SETTLE_TIMEOUT;
         while Instant::now() < end && self.nodes.iter().any(|node| node.rumour_count() > 0) {
             std::thread::sleep(Duration::from_millis(500));
--- a/crates/members/src/suspicions.rs
+++ b/crates/members/src/suspicions.rs
@@ -21,7 +21,7 @@
 /// How long a starting member waits to learn whether the others hold reports. A live seed answers
 /// within a few round trips between regions, and is asked again after 0.1 s. If all members have
 /// just started, or there are no others, none can answer, and callers must not wait for that.
-const INFORM_TIMEOUT: Duration = Duration::from_millis(300);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The maximum number of reports sent at once, which take three datagrams.
 const MAX_REPORTS_SENT: usize = 30;
@@ -72,18 +72,18 @@
         updated
     }
 
-    /// Marks the quarantine as informed once the view has converged or [`INFORM_TIMEOUT`] has
+    /// Marks the quarantine as synced once the view has converged or [`SYNC_TIMEOUT`] has
     /// passed.
-    pub fn update_informed(&self, now: Instant, membership: &Membership) {
-        let is_informed = membership.is_converged(now) || membership.age(now) >= INFORM_TIMEOUT;
-        if is_informed && !self.quarantine.is_synced() {
+    pub fn update_synced(&self, now: Instant, membership: &Membership) {
+        let is_synced = membership.is_converged(now) || membership.age(now) >= SYNC_TIMEOUT;
+        if is_synced && !self.quarantine.is_synced() {
             self.quarantine.set_synced(true);
         }
     }
 
     /// Returns datagrams with the reports that the sender of `datagram` may lack.
     ///
-    /// Marks the quarantine as informed if the sender holds the same reports and has the latest
+    /// Marks the quarantine as synced if the sender holds the same reports and has the latest
     /// published state, which shows that it has not just started itself.
     pub fn send_missing(
         &mut self,
@@ -96,7 +96,7 @@
         let agrees = datagram.digest.fresh && datagram.digest.suspicions == hash;
         if agrees {
             self.quarantine.set_synced(true);
-        } else if !self.heard_from_others && membership.age(now) < INFORM_TIMEOUT {
+        } else if !self.heard_from_others && membership.age(now) < SYNC_TIMEOUT {
             // Another member exists and may hold more reports.
             self.quarantine.set_synced(false);
         }
--- a/crates/members/tests/suspicions.rs
+++ b/crates/members/tests/suspicions.rs
@@ -46,7 +46,7 @@
 fn a_sole_member_accepts_requests_at_once() {
     let now = Instant::now();
     let (quarantine, suspicions, membership) = start(now);
-    suspicions.update_informed(now, &membership);
+    suspicions.update_synced(now, &membership);
     assert!(quarantine.is_synced());
 }
 
@@ -66,8 +66,8 @@
     let now = Instant::now();
     let (quarantine, mut suspicions, membership) = start(now);
     suspicions.send_missing(now, &membership, &datagram(false), Digest::default());
-    suspicions.update_informed(now + Duration::from_millis(200), &membership);
+    suspicions.update_synced(now + Duration::from_millis(200), &membership);
     assert!(!quarantine.is_synced());
-    suspicions.update_informed(now + Duration::from_millis(400), &membership);
+    suspicions.update_synced(now + Duration::from_millis(400), &membership);
     assert!(quarantine.is_synced());
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -86,7 +86,7 @@
             () = node.stop.cancelled() => return,
             () = tokio::time::sleep(PAUSE_CHECK_INTERVAL) => {}
         }
-        let Some(gap) = node.awake.tick(Instant::now()) else {
+        let Some(gap) = node.pause_gate.tick(Instant::now()) else {
             continue;
         };
         node.metrics().pauses.inc();
@@ -98,7 +98,7 @@
         // The time is bounded: peers that do not answer must not keep this node from new work.
         let bound = PAUSE_CHECK_INTERVAL * 5;
         let _ = tokio::time::timeout(bound, pulls::catch_up(&node, false)).await;
-        node.awake.set_caught_up();
+        node.pause_gate.set_caught_up();
     }
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -60,7 +60,7 @@
     pub(crate) membership: Membership,
     /// Reports between members of requests under which searchers crash.
     pub(crate) suspicions: Suspicions,
-    pub(crate) floor: RevisionTracker,
+    pub(crate) revision_tracker: RevisionTracker,
     pub(crate) rng: StdRng,
     /// The hashes of the document and the placement for which the homes were computed.
     homes_key: (u64, u64),
@@ -81,7 +81,7 @@
     /// The searchers that the last instance list marks as leaving.
     pub(crate) listed_leaving: Mutex<HashSet<SocketAddr>>,
     leaving_handler: OnceLock<LeavingHandler>,
-    pub(crate) awake: PauseGate,
+    pub(crate) pause_gate: PauseGate,
     pub(crate) socket: UdpSocket,
     /// The hashes of document texts that were refused.
     pub(crate) refused_hashes: Mutex<HashSet<u64>>,
@@ -126,7 +126,7 @@
             leaving: Mutex::default(),
             listed_leaving: Mutex::default(),
             leaving_handler: OnceLock::new(),
-            awake: PauseGate::new(settings.control.pause),
+            pause_gate: PauseGate::new(settings.control.pause),
             socket,
             refused_hashes: Mutex::default(),
             pull_lock: tokio::sync::Mutex::default(),
@@ -292,12 +292,12 @@
 
     /// Returns whether new work may start now.
     pub fn is_awake(&self) -> bool {
-        self.awake.is_open(Instant::now())
+        self.pause_gate.is_open(Instant::now())
     }
 
     /// Waits for a short time until new work may start, and returns whether it may.
     pub async fn wait_until_awake(&self) -> bool {
-        self.awake.wait_open().await
+        self.pause_gate.wait_open().await
     }
 
     /// Catches up with a sender that has a higher revision, within `bound`. Returns whether that
@@ -341,7 +341,7 @@
         }
         {
             let control = self.lock();
-            let clashes = control.floor.conflicts();
+            let clashes = control.revision_tracker.conflicts();
             let _ = write!(text, "clashes {clashes}\n\n[members]\n{}", control.membership.view());
         }
         let _ = write!(text, "\n[homes]\n{}", self.homes());
@@ -355,8 +355,8 @@
     pub(crate) fn apply_document(&self, document: Document) -> RevisionStatus {
         let (revision, hash) = (document.revision, document.hash);
         let mut control = self.lock();
-        let verdict = control.floor.adopt(revision, hash);
-        match verdict {
+        let status = control.revision_tracker.adopt(revision, hash);
+        match status {
             RevisionStatus::Newer => {
                 self.active_document.store(Some(Arc::new(ActiveDocument { document })));
                 self.metrics.revision.set(revision as i64);
@@ -369,7 +369,7 @@
                 log::info!("config: Revision {revision} is in force.");
             }
             RevisionStatus::Conflict => {
-                self.metrics.clashes.set(control.floor.conflicts() as i64);
+                self.metrics.clashes.set(control.revision_tracker.conflicts() as i64);
                 drop(control);
                 log::error!(
                     "config: Revision {revision} came with other content; keeping the one in force."
@@ -377,7 +377,7 @@
             }
             RevisionStatus::Same | RevisionStatus::Older => {}
         }
-        verdict
+        status
     }
 
     /// Recomputes the homes if the members or the document have changed.
@@ -419,7 +419,7 @@
 impl Control {
     /// Returns the digest of the state in force, as sent to peers.
     pub(crate) fn digest(&self) -> Digest {
-        let (revision, hash) = (self.floor.revision(), self.floor.hash());
+        let (revision, hash) = (self.revision_tracker.revision(), self.revision_tracker.hash());
         Digest { revision, hash, suspicions: self.suspicions.hash(), ..Digest::default() }
     }
 
@@ -444,7 +444,7 @@
         Self {
             membership: Membership::new(now, timing, own, seeds, seed.generator("membership")),
             suspicions: Suspicions::new(Arc::clone(quarantine)),
-            floor: RevisionTracker::default(),
+            revision_tracker: RevisionTracker::default(),
             rng: seed.generator("node"),
             homes_key: (0, 0),
         }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -258,7 +258,7 @@
         let out = event(&mut control.membership, digest);
         let Control { membership, changes, suspicions, .. } = &mut *control;
         let updated = suspicions.merge_received(now, membership);
-        suspicions.update_informed(now, membership);
+        suspicions.update_synced(now, membership);
         for (member, state) in membership.take_state_changes() {
             changes.record(now, state.label(), member.ip);
         }
--- a/crates/quarantine/tests/fleet/world.rs
+++ b/crates/quarantine/tests/fleet/world.rs
@@ -356,7 +356,7 @@
             let at = self.crashed[*searcher].unwrap_or_default();
             let name = if trial { hash_pair(*searcher as u64, at) } else { 0 };
             let strike = Strike { id, trial, searcher: name, cleared: false };
-            self.accuse(member, request, strike, searcher / REPLICAS);
+            self.record_strike(member, request, strike, searcher / REPLICAS);
         }
         let gate = self.gates.entry(key).or_default();
         if trial {
@@ -382,7 +382,7 @@
         }
     }
 
-    fn accuse(&mut self, member: usize, request: Fingerprint, strike: Strike, of: usize) {
+    fn record_strike(&mut self, member: usize, request: Fingerprint, strike: Strike, of: usize) {
         let now = self.instant();
         if self.tables[member].record_strike(now, request, strike, &shard(of)) {
             self.broadcast(member, request);
--- a/crates/relay/src/coverage.rs
+++ b/crates/relay/src/coverage.rs
@@ -36,7 +36,7 @@
     /// Returns the coverage of the searchers that accept work.
     pub fn coverage(&self) -> Arc<Coverage> {
         let mut state = self.lock();
-        let key = Some((state.version_floor.revision(), state.registry.changes()));
+        let key = Some((state.version_tracker.revision(), state.registry.changes()));
         if state.coverage.key != key {
             let declaration = state.declaration.clone();
             let coverage = declaration.map(|declaration| {
--- a/crates/relay/src/gather.rs
+++ b/crates/relay/src/gather.rs
@@ -74,9 +74,9 @@
     let target = job.request.received + timeouts.target;
     let mut late = false;
     loop {
-        // The lock on the tally is released before the verdict is handled.
-        let verdict = job.tally().decide(late);
-        match verdict {
+        // The lock on the tally is released before the decision is handled.
+        let decision = job.tally().decide(late);
+        match decision {
             GatherDecision::Wait => {}
             GatherDecision::Answer => break,
             GatherDecision::Fail => {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -35,7 +35,7 @@
     delegates: Mutex<DelegateMembers>,
     helping: Helping,
     /// Makes new requests wait for a store update after the process was paused.
-    awake: PauseGate,
+    pause_gate: PauseGate,
     /// When the last pause was detected, until a store update requested after it is received.
     woke_at: Mutex<Option<Instant>>,
     pub(crate) pending: Mutex<PendingResults>,
@@ -63,7 +63,7 @@
         let state = Mutex::new(State::new(&settings.policy));
         let delegates = Mutex::new(DelegateMembers::new(Arc::clone(&settings.policy)));
         let (pending, changes) = (Mutex::default(), Mutex::default());
-        let awake = PauseGate::new(settings.pause_threshold);
+        let pause_gate = PauseGate::new(settings.pause_threshold);
         let (meter, woke_at) = (Meter::new(), Mutex::default());
         let stall_period = StallPeriod::default();
         Arc::new(Self {
@@ -73,7 +73,7 @@
             state,
             delegates,
             helping,
-            awake,
+            pause_gate,
             woke_at,
             pending,
             early_request: AtomicBool::new(false),
@@ -143,7 +143,7 @@
     pub fn dump(&self) -> String {
         let state = self.lock();
         let store_unavailable = state.store_unavailable_since.is_some();
-        let version = state.version_floor.revision();
+        let version = state.version_tracker.revision();
         let mut text = format!(
             "declaration {version} members {} store_away {store_unavailable}\n",
             state.members
@@ -191,8 +191,8 @@
     /// Applies a checked declaration if it is newer than the current one.
     pub fn apply_declaration(&self, declaration: Declaration) -> RevisionStatus {
         let mut state = self.lock();
-        let verdict = state.version_floor.adopt(declaration.version, declaration.digest);
-        if verdict == RevisionStatus::Newer {
+        let status = state.version_tracker.adopt(declaration.version, declaration.digest);
+        if status == RevisionStatus::Newer {
             let (version, routes) = (declaration.version, declaration.routes.len());
             log::info!("relay: event=declaration_in_force version={version} routes={routes}");
             let names: HashSet<&Name> =
@@ -205,7 +205,7 @@
             state.declaration = Some(Arc::new(declaration));
             Self::resize_pools(&state);
         }
-        verdict
+        status
     }
 
     /// Returns the current declaration.
@@ -215,7 +215,7 @@
 
     /// Returns the current declaration version, or zero if there is none.
     pub fn version(&self) -> Revision {
-        self.lock().version_floor.revision()
+        self.lock().version_tracker.revision()
     }
 
     /// Adds or updates the entry of a searcher.
@@ -304,7 +304,7 @@
         let mut state = self.lock();
         state.registry.store_restored(now, self.settings.expiry() + EXPIRY_SLACK);
         state.store_recovered_at = Some(now);
-        let (version, searchers) = (state.version_floor.revision(), state.registry.len());
+        let (version, searchers) = (state.version_tracker.revision(), state.registry.len());
         drop(state);
         log::warn!(
             "relay: event=store_restored former={former} at={at} version={version} searchers={searchers}"
@@ -348,17 +348,17 @@
         if !self.settings.policy.catch_up.on {
             return;
         }
-        if !self.awake.wait_open().await {
+        if !self.pause_gate.wait_open().await {
             log::warn!(
                 "relay: event=not_caught_up cause=\"no store update received since the pause\""
             );
-            self.awake.set_caught_up();
+            self.pause_gate.set_caught_up();
         }
     }
 
     /// Returns whether the process was paused and has received no update since.
     pub fn is_behind(&self) -> bool {
-        !self.awake.is_open(Instant::now())
+        !self.pause_gate.is_open(Instant::now())
     }
 
     /// Records that an update requested at `requested_at` was received.
@@ -366,7 +366,7 @@
         let mut woke_at = self.woke_at.lock().unwrap_or_else(PoisonError::into_inner);
         if woke_at.is_some_and(|woke_at| requested_at >= woke_at) {
             *woke_at = None;
-            self.awake.set_caught_up();
+            self.pause_gate.set_caught_up();
         }
     }
 
@@ -390,7 +390,7 @@
     /// Detects a pause of the process.
     fn detect_pause(&self) {
         let now = Instant::now();
-        if let Some(gap) = self.awake.tick(now) {
+        if let Some(gap) = self.pause_gate.tick(now) {
             *self.woke_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
             log::warn!("relay: event=woke slept_ms={}", gap.as_millis());
         }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -29,7 +29,7 @@
 
 /// The mutable state of a relay.
 pub(crate) struct State {
-    pub(crate) version_floor: RevisionTracker,
+    pub(crate) version_tracker: RevisionTracker,
     pub(crate) declaration: Option<Arc<Declaration>>,
     pub(crate) registry: Registry,
     pub(crate) coverage: CachedCoverage,
@@ -54,7 +54,7 @@
 impl State {
     pub(crate) fn new(policy: &Policy) -> Self {
         Self {
-            version_floor: RevisionTracker::default(),
+            version_tracker: RevisionTracker::default(),
             declaration: None,
             registry: Registry::new(policy.doubt),
             coverage: CachedCoverage::default(),
